--- a/packages/core/src/admission/admissionDb.ts
+++ b/packages/core/src/admission/admissionDb.ts
@@ -21,7 +21,7 @@
   }
 
   /** Learns from a finished task. */
-  learn (queue: QueueName, ratio: number): void {
+  recordRatio (queue: QueueName, ratio: number): void {
     const bounded = Math.min(RATIO_MAX, Math.max(RATIO_MIN, ratio))
     const known = this.ratioOf(queue)
     this.ratios.set(queue, known + (bounded - known) * RATIO_WEIGHT)
--- a/packages/core/src/admission/admissionDecider.spec.ts
+++ b/packages/core/src/admission/admissionDecider.spec.ts
@@ -9,36 +9,36 @@
   readonly name: string
 }
 
-function work (name: string, overrides: Partial<Omit<QueuedWork, 'waitingWork' | 'hasStarted'>> & { work?: number, started?: boolean } = {}): NamedWork {
+function makeWork (name: string, overrides: Partial<Omit<QueuedWork, 'waitingWork' | 'hasStarted'>> & { work?: number, started?: boolean } = {}): NamedWork {
   const { work: waiting = 1_000_000, started = false, ...times } = overrides
-  return { name, priority: 0, chainMs: ms(100), onTimeUntil: ms(1200), usefulUntil: ms(2000), mayHaveRun: started, waitingWork: () => waiting, hasStarted: () => started, ...times }
+  return { name, priority: 0, criticalPathMs: ms(100), onTimeUntil: ms(1200), usefulUntil: ms(2000), mayHaveRun: started, waitingWork: () => waiting, hasStarted: () => started, ...times }
 }
 
 describe('admission', () => {
   it('starts jobs at work first, then those still on time by their latest start, then late ones', () => {
     const admission = new AdmissionDecider<NamedWork>()
     const jobs = [
-      work('late', { onTimeUntil: ms(1050) }),
-      work('relaxed', { onTimeUntil: ms(1600) }),
-      work('urgent', { onTimeUntil: ms(1150) }),
-      work('useless', { onTimeUntil: ms(500), usefulUntil: ms(900), started: true }),
-      work('at work', { onTimeUntil: ms(1010), started: true })
+      makeWork('late', { onTimeUntil: ms(1050) }),
+      makeWork('relaxed', { onTimeUntil: ms(1600) }),
+      makeWork('urgent', { onTimeUntil: ms(1150) }),
+      makeWork('useless', { onTimeUntil: ms(500), usefulUntil: ms(900), started: true }),
+      makeWork('at work', { onTimeUntil: ms(1010), started: true })
     ]
     for (const job of jobs) admission.db.waiting.add(job)
-    expect(admission.ordered(ms(1000)).map(job => job.name)).to.deep.equal(['at work', 'urgent', 'relaxed', 'late', 'useless'])
+    expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['at work', 'urgent', 'relaxed', 'late', 'useless'])
   })
 
   it('prefers the more important of two jobs whose latest starts are close', () => {
     const admission = new AdmissionDecider<NamedWork>()
-    admission.db.waiting.add(work('minor', { priority: 2, onTimeUntil: ms(1200) }))
-    admission.db.waiting.add(work('major', { priority: 0, onTimeUntil: ms(1230) }))
-    expect(admission.ordered(ms(1000)).map(job => job.name)).to.deep.equal(['major', 'minor'])
+    admission.db.waiting.add(makeWork('minor', { priority: 2, onTimeUntil: ms(1200) }))
+    admission.db.waiting.add(makeWork('major', { priority: 0, onTimeUntil: ms(1230) }))
+    expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['major', 'minor'])
   })
 
   it('declines at once what cannot have its turn while it is of use, and says when to come back', () => {
     const admission = new AdmissionDecider<NamedWork>()
-    for (let i = 0; i < 100; i++) admission.db.waiting.add(work(`ahead ${i}`))
-    const verdict = admission.judge(work('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000))
+    for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
+    const verdict = admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000))
     expect(verdict.type).to.equal('decline')
     if (verdict.type === 'decline') expect(verdict.retryAfterMs).to.be.within(1000, 5000)
   })
@@ -46,16 +46,16 @@
   it('declines of a burst only what is too much, and never what has run', () => {
     const admission = new AdmissionDecider<NamedWork>()
     // Each job takes the room for 11.8 ms; 76 of them end their wait within the 900 ms that are of use.
-    for (let i = 0; i < 100; i++) admission.db.waiting.add(work(`burst ${i}`))
-    admission.db.waiting.add(work('has run', { mayHaveRun: true, onTimeUntil: ms(5000), chainMs: ms(1) }))
-    const declined = admission.hopeless(ROOM, ms(1000)).map(job => job.name)
+    for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`burst ${i}`))
+    admission.db.waiting.add(makeWork('has run', { mayHaveRun: true, onTimeUntil: ms(5000), criticalPathMs: ms(1) }))
+    const declined = admission.jobsToDecline(ROOM, ms(1000)).map(job => job.name)
     expect(declined.length).to.be.within(20, 30)
     expect(declined).not.to.include('has run')
   })
 
   it('admits what has its turn in time', () => {
     const admission = new AdmissionDecider<NamedWork>()
-    for (let i = 0; i < 10; i++) admission.db.waiting.add(work(`ahead ${i}`))
-    expect(admission.judge(work('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000)).type).to.equal('admit')
+    for (let i = 0; i < 10; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
+    expect(admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000)).type).to.equal('admit')
   })
 })
--- a/packages/core/src/admission/admissionDecider.ts
+++ b/packages/core/src/admission/admissionDecider.ts
@@ -30,14 +30,14 @@
    * @param room - the shard's room
    * @param now - the time
    */
-  judge (job: QueuedWork, room: ShardRoom, now: Ms): AdmissionVerdict {
+  decide (job: QueuedWork, room: ShardRoom, now: Ms): AdmissionVerdict {
     const wait = this.expectedWait(job, room, now)
-    if (now + wait + job.chainMs <= job.usefulUntil) return { type: 'admit' }
+    if (now + wait + job.criticalPathMs <= job.usefulUntil) return { type: 'admit' }
     return { type: 'decline', retryAfterMs: this.retryAfter(room) }
   }
 
   /** @returns jobs in the order in which their tasks start */
-  ordered (now: Ms): T[] {
+  inStartOrder (now: Ms): T[] {
     const ranked = [...this.db.waiting].map(job => ({ job, tier: tier(job, now), rank: rank(job) }))
     return ranked.sort((a, b) => a.tier - b.tier || a.rank - b.rank).map(({ job }) => job)
   }
@@ -49,12 +49,12 @@
    * @param now - the time
    * @returns jobs whose turn cannot come while their answer is of use
    */
-  hopeless (room: ShardRoom, now: Ms): T[] {
+  jobsToDecline (room: ShardRoom, now: Ms): T[] {
     const declined: T[] = []
     const usable = usableCpu(room)
     let ahead = 0
-    for (const job of this.ordered(now)) {
-      if (!job.mayHaveRun && now + ahead / usable + job.chainMs > job.usefulUntil) declined.push(job)
+    for (const job of this.inStartOrder(now)) {
+      if (!job.mayHaveRun && now + ahead / usable + job.criticalPathMs > job.usefulUntil) declined.push(job)
       else ahead += job.waitingWork()
     }
     return declined
@@ -87,13 +87,13 @@
 
 /** Smaller goes first: at work and of use, on time, late, of no use any more. */
 function tier (job: QueuedWork, now: Ms): number {
-  if (now + job.chainMs <= job.onTimeUntil) return job.hasStarted() ? 0 : 1
+  if (now + job.criticalPathMs <= job.onTimeUntil) return job.hasStarted() ? 0 : 1
   if (now > job.usefulUntil) return 3
   return job.hasStarted() ? 0 : 2
 }
 
 function rank (job: QueuedWork): number {
-  return job.onTimeUntil - job.chainMs + job.priority * PRIORITY_STEP_MS
+  return job.onTimeUntil - job.criticalPathMs + job.priority * PRIORITY_STEP_MS
 }
 
 function usableCpu (room: ShardRoom): number {
--- a/packages/core/src/admission/types.ts
+++ b/packages/core/src/admission/types.ts
@@ -10,7 +10,7 @@
   /** An answer after this is of no use to the caller. */
   readonly usefulUntil: Ms
   /** Expected time of the longest chain of steps. */
-  readonly chainMs: Ms
+  readonly criticalPathMs: Ms
 }
 
 /** What the queue has to know of a job. */
--- a/packages/core/src/execution/executionDb.ts
+++ b/packages/core/src/execution/executionDb.ts
@@ -1,29 +1,31 @@
 /**
- * State of the execution decision: jobs of owned shards, and outcomes that may be asked for again.
+ * State of the execution decision: the jobs of owned shards, and the outcomes of ended jobs. Outcomes are kept for a while
+ * because a front or a resending caller may ask again for a job that has already ended. The functions below derive a job's
+ * steps and objective from its order.
  */
 import type { DispatchOrder, JobId, JobOutcome, Ms, QueueTerms, StepSpec, TaskName } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { EndedJob, OwnedJob, OwnedStep, OwnedTask } from './types.js'
 
-/** How long outcomes are kept; callers send a job again within a few seconds. */
-const ENDED_KEPT_MS = 10_000
+/** How long outcomes are kept; callers resend a job within a few seconds. */
+const OUTCOME_RETENTION_MS = 10_000
 
-/** Jobs at this owner. */
+/** Jobs held by this owner. */
 export class ExecutionDb {
   readonly jobs = new Map<JobId, OwnedJob>()
   private readonly ended = new Map<JobId, EndedJob>()
 
-  /** Keeps an outcome. */
+  /** Keeps the outcome of an ended job for `OUTCOME_RETENTION_MS`. */
   keepOutcome (id: JobId, outcome: JobOutcome, now: Ms): void {
-    this.ended.set(id, { outcome, until: ms(now + ENDED_KEPT_MS) })
+    this.ended.set(id, { outcome, until: ms(now + OUTCOME_RETENTION_MS) })
   }
 
-  /** @returns the kept outcome of a job */
+  /** @returns the outcome of an ended job, while it is kept */
   outcomeOf (id: JobId): JobOutcome | undefined {
     return this.ended.get(id)?.outcome
   }
 
-  /** Drops outcomes whose time has passed; the oldest come first. */
+  /** Drops expired outcomes. The map is in order of insertion, so the oldest come first. */
   expire (now: Ms): void {
     for (const [id, ended] of this.ended) {
       if (ended.until > now) return
@@ -31,7 +33,7 @@
     }
   }
 
-  /** @returns the job and task of a task's name, while the job is known */
+  /** @returns the job and the task that a task name refers to, or undefined when the job is not held here */
   find (name: TaskName): { readonly job: OwnedJob, readonly task: OwnedTask } | undefined {
     const [id, , step, index] = name.split('.')
     const job = this.jobs.get(id as JobId)
@@ -41,40 +43,41 @@
 }
 
 /**
- * Names a task of a job.
+ * Builds the name under which a task is known to endpoints. The name is the same at every owner, so a new owner finds
+ * the runs of the previous one.
  * @param id - the job
- * @param step - number of the step
- * @param index - number of the task in its step
+ * @param step - index of the step
+ * @param index - index of the task in its step
  */
 export const taskName = (id: JobId, step: number, index: number): TaskName => `${id}.0.${step}.${index}` as TaskName
 
-/** @returns the steps of an order, with what is already done marked */
+/** @returns the steps of an order; tasks that an earlier owner reported as done are marked as done */
 export function makeSteps (order: DispatchOrder): OwnedStep[] {
   const done = new Set(order.done)
   return order.job.steps.map((spec, step) => {
     const tasks = Array.from({ length: spec.count }, (_, index) => makeTask(order.job.id, step, index, done.has(`${step}.${index}`)))
-    return { spec, tasks, missing: tasks.filter(task => !task.done).length, ranMs: [] }
+    return { spec, tasks, unfinishedTasks: tasks.filter(task => !task.done).length, finishedRunMs: [] }
   })
 }
 
 function makeTask (id: JobId, step: number, index: number, done: boolean): OwnedTask {
-  return { name: taskName(id, step, index), step, index, done, run: undefined, lastRun: 0, failedAttempts: 0, failedAt: new Set(), avoid: new Set() }
+  return { name: taskName(id, step, index), step, index, done, run: undefined, lastRun: 0, failedAttempts: 0, failedEndpoints: new Set(), avoid: new Set() }
 }
 
-/** @returns true when all steps before this one are done */
-export function isOpen (job: OwnedJob, step: OwnedStep): boolean {
-  return step.spec.after.every(number => job.steps[number]?.missing === 0)
+/** @returns true when all steps that this one depends on are done */
+export function isReady (job: OwnedJob, step: OwnedStep): boolean {
+  return step.spec.after.every(number => job.steps[number]?.unfinishedTasks === 0)
 }
 
-/** @returns time from the receipt of a job within which its answer is on time */
-export function objectiveOf (queue: QueueTerms, chainMs: Ms): Ms {
-  return ms(queue.stretch * chainMs + queue.latencyObjectiveMs)
+/** @returns the time from receipt of a job within which its answer counts as on time */
+export function objectiveOf (queue: QueueTerms, pathMs: Ms): Ms {
+  return ms(queue.stretch * pathMs + queue.latencyObjectiveMs)
 }
 
 /**
- * Adds up the longest chain of steps.
- * @param steps - the job's steps; each names only earlier ones
- * @param ratio - run time over estimate
+ * Computes the length of the critical path through a job's steps.
+ * @param steps - the job's steps; each depends only on earlier ones
+ * @param ratio - factor from estimated to actual run time
  */
 export function chainOf (steps: readonly StepSpec[], ratio: number): Ms {
   const ends: number[] = []
--- a/packages/core/src/execution/executionDecider.spec.ts
+++ b/packages/core/src/execution/executionDecider.spec.ts
@@ -12,7 +12,7 @@
 const DOMAIN = 'd' as FailureDomain
 const SERVICE = 's' as ServiceName
 const FRONT: FrontSession = { instance: 'front' as InstanceId, incarnation: 1, address: 'front' }
-const OTHER: FrontSession = { instance: 'other' as InstanceId, incarnation: 1, address: 'other' }
+const OTHER_FRONT: FrontSession = { instance: 'other' as InstanceId, incarnation: 1, address: 'other' }
 
 function report (id: string): EndpointReport {
   return { id: id as EndpointId, service: SERVICE, address: id, failureDomain: DOMAIN, draining: false, capacity: { cpuMilli: 14_000, memoryMb: 100, accelerators: 0 }, labels: [], bornAt: 0 }
@@ -24,10 +24,10 @@
   return { job: { id: id as JobId, spec: '', features: [], steps: [step] }, queue, ageMs: ms(0), remainingMs: ms(10_000), attempt: 1, resumed: false, done: [], ...overrides }
 }
 
-/** An owner over endpoints that hold one task each; tests answer its orders by hand. */
-class Owner {
+/** A shard owner with endpoints that have room for one task each; tests answer its start, stop and hold orders explicitly. */
+class OwnerHarness {
   readonly ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: DOMAIN, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(1000) }
-  readonly told: ShardMessage[] = []
+  readonly sentToFronts: ShardMessage[] = []
   private readonly placement = new PlacementDecider(this.ctx)
   readonly execution: ExecutionDecider
   readonly ledger: EndpointsDecider
@@ -38,7 +38,7 @@
 
   constructor (endpoints: number) {
     this.execution = new ExecutionDecider(this.ctx, this.placement, {
-      tell: (_front, message) => this.told.push(message),
+      tell: (_front, message) => this.sentToFronts.push(message),
       superseded: () => {},
       earlierRunsKnown: () => true
     })
@@ -46,8 +46,8 @@
     this.execution.endpoints = this.ledger
     const reports = Array.from({ length: endpoints }, (_, i) => report(`e-${i}`))
     this.ledger.adopt(reports)
-    this.collect()
-    for (const { id } of reports) this.list(id, [])
+    this.collectEffects()
+    for (const { id } of reports) this.answerHold(id, [])
   }
 
   submit (job: DispatchOrder, front = FRONT): void {
@@ -55,13 +55,13 @@
     this.settle()
   }
 
-  /** Confirms every start that waits for its answer. */
+  /** Confirms every start that has not been answered yet. */
   confirmStarts (): void {
     for (const start of this.starts.splice(0)) this.ledger.startOutcome(start.endpoint, start.orderId, { type: 'started', clock: Math.floor(this.ctx.now) as EndpointClockMs })
     this.settle()
   }
 
-  list (id: EndpointId, running: readonly ListedRun[], ends: readonly Omit<ListedEnd, 'sequence'>[] = []): void {
+  answerHold (id: EndpointId, running: readonly ListedRun[], ends: readonly Omit<ListedEnd, 'sequence'>[] = []): void {
     const ended = ends.map((end) => {
       const sequence = (this.sequences.get(id) ?? 0) + 1
       this.sequences.set(id, sequence)
@@ -71,34 +71,34 @@
     this.settle()
   }
 
-  /** Lists the end of the task's run at its endpoint. */
-  end (task: string, how: ListedEnd['how']): void {
+  /** Reports the end of the task's run in its endpoint's next listing. */
+  reportEnd (task: string, how: ListedEnd['how']): void {
     const run = this.ledger.db.runOf(task as TaskName)
     if (run === undefined) throw new Error(`${task} does not run`)
-    this.list(run.endpoint, [], [{ task: run.task, run: run.run, how }])
+    this.answerHold(run.endpoint, [], [{ task: run.task, run: run.run, how }])
   }
 
-  /** Lists a run's progress at its endpoint. */
-  progress (task: string, percent: number): void {
+  /** Reports the progress of the task's run in its endpoint's next listing. */
+  reportProgress (task: string, percent: number): void {
     const run = this.ledger.db.runOf(task as TaskName)
     if (run === undefined) throw new Error(`${task} does not run`)
-    this.list(run.endpoint, [{ task: run.task, run: run.run, percent }])
+    this.answerHold(run.endpoint, [{ task: run.task, run: run.run, percent }])
   }
 
   isSetAside (id: string): boolean {
     return this.placement.isSetAside(id as EndpointId)
   }
 
-  pass (span: number): void {
+  advanceMs (span: number): void {
     this.ctx.now = ms(this.ctx.now + span)
   }
 
   settle (): void {
     this.execution.pump()
-    this.collect()
+    this.collectEffects()
   }
 
-  private collect (): void {
+  private collectEffects (): void {
     for (const effect of this.ctx.out.take()) {
       if (effect.type === 'hold') this.holds.set(effect.endpoint, effect.orderId)
       if (effect.type === 'startTask') this.starts.push(effect)
@@ -108,125 +108,125 @@
 }
 
 describe('execution', () => {
-  it('tells the front once every task has ended done', () => {
-    const owner = new Owner(2)
+  it('reports the outcome to the front only after every task is done', () => {
+    const owner = new OwnerHarness(2)
     owner.submit(order('a', 2, 100))
     owner.confirmStarts()
-    owner.end('a.0.0.0', 'done')
-    expect(owner.told).to.deep.equal([])
-    owner.end('a.0.0.1', 'done')
-    expect(owner.told).to.deep.equal([{ type: 'ended', jobId: 'a', outcome: 'completed' }])
+    owner.reportEnd('a.0.0.0', 'done')
+    expect(owner.sentToFronts).to.deep.equal([])
+    owner.reportEnd('a.0.0.1', 'done')
+    expect(owner.sentToFronts).to.deep.equal([{ type: 'ended', jobId: 'a', outcome: 'completed' }])
   })
 
-  it('starts a failed task elsewhere, and fails the job after the allowed attempts', () => {
-    const owner = new Owner(2)
+  it('restarts a failed task on another endpoint, and fails the job after the allowed attempts', () => {
+    const owner = new OwnerHarness(2)
     owner.submit(order('a', 1, 100))
     const first = owner.starts[0]?.endpoint
     owner.confirmStarts()
-    owner.end('a.0.0.0', 'failed')
+    owner.reportEnd('a.0.0.0', 'failed')
     expect(owner.starts[0]?.endpoint).to.not.equal(first)
     owner.confirmStarts()
-    owner.end('a.0.0.0', 'failed')
-    expect(owner.told).to.deep.equal([{ type: 'ended', jobId: 'a', outcome: 'failed' }])
+    owner.reportEnd('a.0.0.0', 'failed')
+    expect(owner.sentToFronts).to.deep.equal([{ type: 'ended', jobId: 'a', outcome: 'failed' }])
   })
 
-  it('finishes a job at work before it starts another, and starts no second job in part', () => {
-    const owner = new Owner(3)
+  it('finishes a running job before it starts another, and starts no second job partially', () => {
+    const owner = new OwnerHarness(3)
     owner.submit(order('a', 4, 200))
     owner.submit(order('b', 2, 100))
     expect(owner.starts.map(start => start.task)).to.deep.equal(['a.0.0.0', 'a.0.0.1', 'a.0.0.2'])
     owner.confirmStarts()
-    owner.pass(50)
-    owner.end('a.0.0.0', 'done')
+    owner.advanceMs(50)
+    owner.reportEnd('a.0.0.0', 'done')
     expect(owner.starts.map(start => start.task)).to.deep.equal(['a.0.0.3'])
     owner.confirmStarts()
-    owner.end('a.0.0.1', 'done')
-    owner.end('a.0.0.2', 'done')
+    owner.reportEnd('a.0.0.1', 'done')
+    owner.reportEnd('a.0.0.2', 'done')
     expect(owner.starts.map(start => start.task)).to.deep.equal(['b.0.0.0', 'b.0.0.1'])
   })
 
-  it('joins a job that arrives from another front and answers the new one', () => {
-    const owner = new Owner(1)
+  it('joins a job that arrives again from another front, and keeps it running when the first front is lost', () => {
+    const owner = new OwnerHarness(1)
     owner.submit(order('a', 1, 100))
-    owner.submit(order('a', 1, 100), OTHER)
+    owner.submit(order('a', 1, 100), OTHER_FRONT)
     expect(owner.starts.length).to.equal(1)
     owner.execution.frontLost(FRONT.instance, undefined)
     owner.settle()
     expect(owner.stops).to.deep.equal([])
   })
 
-  it('stops the tasks of a front that is lost, and those that are not confirmed', () => {
-    const owner = new Owner(2)
+  it('stops the tasks of a lost front, and those of jobs that their front no longer confirms', () => {
+    const owner = new OwnerHarness(2)
     owner.submit(order('a', 1, 100))
-    owner.submit(order('b', 1, 100), OTHER)
+    owner.submit(order('b', 1, 100), OTHER_FRONT)
     owner.confirmStarts()
     owner.execution.frontLost(FRONT.instance, undefined)
     owner.settle()
     expect(owner.stops.map(stop => stop.task)).to.deep.equal(['a.0.0.0'])
-    owner.pass(SHARD_DEFAULTS.jobLeaseMs + 1)
+    owner.advanceMs(SHARD_DEFAULTS.jobLeaseMs + 1)
     owner.execution.tick()
     owner.settle()
     expect(owner.stops.map(stop => stop.task)).to.include('b.0.0.0')
   })
 
-  it('moves the one task that makes no progress', () => {
-    const owner = new Owner(5)
+  it('moves the only task of a step that makes no progress', () => {
+    const owner = new OwnerHarness(5)
     owner.submit(order('a', 4, 400))
     owner.confirmStarts()
-    owner.pass(200)
-    for (const index of [0, 1, 2]) owner.progress(`a.0.0.${index}`, 50)
-    owner.progress('a.0.0.3', 0)
+    owner.advanceMs(200)
+    for (const index of [0, 1, 2]) owner.reportProgress(`a.0.0.${index}`, 50)
+    owner.reportProgress('a.0.0.3', 0)
     expect(owner.stops.map(stop => stop.task)).to.deep.equal(['a.0.0.3'])
   })
 
-  it('stops a task that stands still although no room is free, and starts it first once there is', () => {
-    const owner = new Owner(2)
+  it('stops a stalled task even when no endpoint is free, and starts it first once one is', () => {
+    const owner = new OwnerHarness(2)
     owner.submit(order('a', 1, 400))
     owner.submit(order('b', 1, 400))
     owner.submit(order('c', 1, 400))
     owner.confirmStarts()
-    owner.pass(300)
-    owner.progress('b.0.0.0', 60)
-    owner.progress('a.0.0.0', 0)
+    owner.advanceMs(300)
+    owner.reportProgress('b.0.0.0', 60)
+    owner.reportProgress('a.0.0.0', 0)
     expect(owner.stops.map(stop => stop.task)).to.deep.equal(['a.0.0.0'])
-    owner.end('a.0.0.0', 'stopped')
-    owner.pass(100)
-    owner.end('b.0.0.0', 'done')
+    owner.reportEnd('a.0.0.0', 'stopped')
+    owner.advanceMs(100)
+    owner.reportEnd('b.0.0.0', 'done')
     expect(owner.starts.map(start => start.task)[0]).to.equal('a.0.0.0')
   })
 
-  it('judges the speed of runs that it found only from what it has seen of them', () => {
-    const owner = new Owner(5)
+  it('measures the speed of runs found after a takeover only from the progress it has observed', () => {
+    const owner = new OwnerHarness(5)
     owner.ledger.lookAgain()
     owner.settle()
-    owner.list('e-4' as EndpointId, [])
-    for (const index of [0, 1, 2, 3]) owner.list(`e-${index}` as EndpointId, [{ task: `a.0.0.${index}` as TaskName, run: 1, percent: 40 }])
+    owner.answerHold('e-4' as EndpointId, [])
+    for (const index of [0, 1, 2, 3]) owner.answerHold(`e-${index}` as EndpointId, [{ task: `a.0.0.${index}` as TaskName, run: 1, percent: 40 }])
     owner.submit(order('a', 4, 400, { resumed: true }))
     expect(owner.starts).to.deep.equal([])
     for (const percent of [60, 80]) {
-      owner.pass(300)
-      for (const index of [0, 1, 2, 3]) owner.progress(`a.0.0.${index}`, percent)
+      owner.advanceMs(300)
+      for (const index of [0, 1, 2, 3]) owner.reportProgress(`a.0.0.${index}`, percent)
     }
     expect(owner.stops).to.deep.equal([])
     expect([0, 1, 2, 3].filter(index => owner.isSetAside(`e-${index}`))).to.deep.equal([])
   })
 
-  it('moves nothing when all tasks of a job take longer than estimated', () => {
-    const owner = new Owner(5)
+  it('moves no task when all tasks of a job take longer than estimated', () => {
+    const owner = new OwnerHarness(5)
     owner.submit(order('a', 4, 100))
     owner.confirmStarts()
     for (const percent of [10, 20, 30]) {
-      owner.pass(70)
-      for (const index of [0, 1, 2, 3]) owner.progress(`a.0.0.${index}`, percent)
+      owner.advanceMs(70)
+      for (const index of [0, 1, 2, 3]) owner.reportProgress(`a.0.0.${index}`, percent)
     }
     expect(owner.stops).to.deep.equal([])
   })
 
-  it('declines what no endpoint can hold', () => {
-    const owner = new Owner(1)
+  it('declines a job whose task fits no endpoint', () => {
+    const owner = new OwnerHarness(1)
     const wide = order('a', 1, 100)
     const step = { ...wide.job.steps[0], needs: { cpuMilli: 99_000, memoryMb: 1, accelerators: 0 } } as DispatchOrder['job']['steps'][number]
     owner.submit({ ...wide, job: { ...wide.job, steps: [step] } })
-    expect(owner.told.map(message => message.type)).to.deep.equal(['declined'])
+    expect(owner.sentToFronts.map(message => message.type)).to.deep.equal(['declined'])
   })
 })
--- a/packages/core/src/execution/executionDecider.ts
+++ b/packages/core/src/execution/executionDecider.ts
@@ -1,6 +1,8 @@
 /**
- * Carries a job through at the owner of a shard: admits it, starts its tasks as room and order allow, starts failed and
- * lost tasks again, moves tasks off endpoints where they make no progress, and reports one outcome to the front.
+ * Executes jobs at the owner of a shard: admits a job, starts its tasks in admission order as capacity allows, restarts
+ * failed and lost tasks, moves tasks away from endpoints where they make no progress, and reports one outcome to the front.
+ * It combines three decisions that are kept apart so that each can be tested alone: admission (which jobs, in which order),
+ * placement (which endpoint) and the endpoint ledger (which runs occupy which endpoint).
  */
 import type { DispatchOrder, EndpointId, FailureDomain, FencingToken, InstanceId, JobId, JobOutcome, JobProgress, Ms, RunEnd, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -11,49 +13,49 @@
 import type { LedgerRun, RejectionReason, RunListener } from '../endpoints/types.js'
 import type { Candidate, PlacementDecider } from '../placement/placementDecider.js'
 import type { ShardContext } from '../shard/types.js'
-import { ExecutionDb, chainOf, isOpen, makeSteps, objectiveOf } from './executionDb.js'
-import { anyFits, largestRoom, leastCpu } from './quickFit.js'
-import { STALL_SLOWNESS, slownessOf, soundMs } from './speed.js'
+import { ExecutionDb, chainOf, isReady, makeSteps, objectiveOf } from './executionDb.js'
+import { anyFits, largestFreeCpu, smallestCpuNeed } from './quickFit.js'
+import { STALL_SLOWNESS, slownessOf, healthyRunMs } from './speed.js'
 import type { FrontSession, OwnedJob, OwnedStep, OwnedTask } from './types.js'
 
-/** A task that works slower than this against the expected time may be moved. */
+/** Run time relative to the expected time from which a task may be moved to another endpoint. */
 const MOVE_SLOWNESS = 2.5
-/** What a move costs: the stop, its listing, and the new start. */
+/** Time a move takes: the stop, the listing that confirms it, and the new start. */
 const MOVE_COST_MS = 80
-/** Period in which waiting jobs are judged again: others may have gone before them meanwhile. */
-const JUDGE_AGAIN_MS = 60
-/** A task avoids at most this many endpoints, so that one always remains. */
-const AVOIDED_MAX = 3
-/** Fronts ask for the room many times a tick; it is counted once in this span. */
-const ROOM_AGE_MS = 20
-
-/** A start that fits. */
+/** Interval at which waiting jobs are reassessed, because other jobs may have overtaken them in the meantime. */
+const REASSESS_INTERVAL_MS = 60
+/** A task avoids at most this many endpoints, so that one always remains to run it. */
+const AVOIDED_ENDPOINTS_MAX = 3
+/** How long a computed capacity total is reused; fronts request it many times per tick. */
+const ROOM_CACHE_MS = 20
+
+/** A planned start whose capacity is reserved in the current placement round. */
 interface PlannedStart {
   readonly step: OwnedStep
   readonly task: OwnedTask
   readonly candidate: Candidate
 }
 
-/** How the execution reaches fronts and the ownership. */
+/** Outgoing calls of the execution decision, to fronts and to shard ownership. */
 export interface ExecutionPorts {
   tell (front: FrontSession, message: ShardMessage): void
   superseded (failureDomain: FailureDomain, token: FencingToken): void
-  /** False while runs of an earlier owner may exist that this owner has not seen. */
+  /** Returns false while runs of an earlier owner may exist that this owner has not yet seen. */
   earlierRunsKnown (failureDomain: FailureDomain): boolean
 }
 
-/** The execution decision. */
+/** Executes the jobs of the shards that this instance owns. */
 export class ExecutionDecider implements RunListener {
   readonly db = new ExecutionDb()
   readonly admission = new AdmissionDecider<OwnedJob>()
-  private pumpNeeded = false
-  private judgeAt = ms(0)
-  private roomSeen: { readonly at: Ms, readonly room: ShardRoom } | undefined
+  private startRoundNeeded = false
+  private nextReassessmentAt = ms(0)
+  private cachedRoom: { readonly at: Ms, readonly room: ShardRoom } | undefined
   endpoints!: EndpointsDecider
 
   constructor (private readonly ctx: ShardContext, private readonly placement: PlacementDecider, private readonly ports: ExecutionPorts) {}
 
-  /** Takes a job from a front, or joins it to the one that is already here. */
+  /** Handles a job sent by a front: joins a copy to the job already held, resends a kept outcome, or admits a new job. */
   submit (front: FrontSession, failureDomain: FailureDomain, order: DispatchOrder): void {
     const { id } = order.job
     const known = this.db.jobs.get(id)
@@ -70,13 +72,13 @@
     if (order.resumed || this.hasRuns(job) || this.admit(job)) this.accept(job)
   }
 
-  /** The caller left. */
+  /** Abandons a job whose caller has disconnected; only the front that answers for the job may cancel it. */
   cancel (id: JobId, from: InstanceId): void {
     const job = this.db.jobs.get(id)
     if (job !== undefined && job.front.instance === from) this.abandon(job, 'callerLeft')
   }
 
-  /** Ends the jobs of a front that is lost: its callers send them again, to any front. */
+  /** Abandons the jobs of a lost front, except those of its given incarnation; callers resend their jobs to any front. */
   frontLost (instance: InstanceId, incarnation: number | undefined): void {
     for (const job of [...this.db.jobs.values()]) {
       if (job.front.instance !== instance) continue
@@ -86,14 +88,14 @@
     }
   }
 
-  /** @returns instances that answer for jobs here */
+  /** @returns the instances that answer to the callers of the jobs held here */
   fronts (): Set<InstanceId> {
     const fronts = new Set<InstanceId>()
     for (const { front } of this.db.jobs.values()) fronts.add(front.instance)
     return fronts
   }
 
-  /** A front asks after jobs that it sent and still wants: ended ones are told again, unknown ones have to be sent again. */
+  /** Answers a front that checks on jobs it still wants: resends the outcome of ended jobs and reports unknown ones, which it has to resubmit. */
   check (front: FrontSession, failureDomain: FailureDomain, ids: readonly JobId[]): void {
     for (const id of ids) {
       const job = this.db.jobs.get(id)
@@ -106,13 +108,13 @@
     }
   }
 
-  /** Forgets all jobs, as after a pause in which their fronts may have given them up. */
+  /** Forgets all jobs, for example after a process pause during which their fronts may have given them up. */
   dropAll (): void {
     for (const job of [...this.db.jobs.values()]) this.forget(job)
     this.endpoints.disown()
   }
 
-  /** Forgets the jobs of a shard without touching their runs; returns what is done of each, by front. */
+  /** Forgets the jobs of a shard without stopping their runs, and returns the finished tasks of each job by front. */
   release (failureDomain: FailureDomain): Map<FrontSession, JobProgress[]> {
     const byFront = new Map<FrontSession, JobProgress[]>()
     for (const job of [...this.db.jobs.values()]) {
@@ -124,38 +126,38 @@
     return byFront
   }
 
-  /** Stops what nobody claimed, declines what can no longer be of use. */
+  /** Stops runs that no job claimed, abandons jobs that nobody waits for, and declines waiting jobs that can no longer finish in time. */
   tick (): void {
     this.db.expire(this.ctx.now)
     this.stopUnclaimed()
     for (const job of [...this.db.jobs.values()]) this.tickJob(job)
-    this.judgeAgain()
-    if (this.admission.db.waiting.size > 0) this.pumpNeeded = true
+    this.reassessWaitingJobs()
+    if (this.admission.db.waiting.size > 0) this.startRoundNeeded = true
   }
 
-  /** Starts tasks if something changed since the last call. */
+  /** Starts waiting tasks if jobs or capacity have changed since the last call. */
   pump (): void {
-    if (!this.pumpNeeded) return
-    this.pumpNeeded = false
+    if (!this.startRoundNeeded) return
+    this.startRoundNeeded = false
     if (this.admission.db.waiting.size === 0) return
     const candidates = this.candidates()
-    let largest = largestRoom(candidates)
-    // While the shard is full most calls end here, at the cost of one look at each job.
+    let largest = largestFreeCpu(candidates)
+    // While the shard is full, most calls return here after one check per waiting job.
     if (!anyFits(this.admission.db.waiting, largest)) return
-    let mayStartInPart = true
-    for (const job of this.admission.ordered(this.ctx.now)) {
+    let mayStartPartially = true
+    for (const job of this.admission.inStartOrder(this.ctx.now)) {
       if (job.order.resumed && !this.ports.earlierRunsKnown(job.failureDomain)) continue
-      const complete = leastCpu(job) <= largest && this.startTasks(job, candidates, mayStartInPart || job.firstStartAt !== undefined)
-      if (!complete && job.firstStartAt === undefined) mayStartInPart = false
-      if (complete || job.firstStartAt !== undefined) largest = largestRoom(candidates)
+      const complete = smallestCpuNeed(job) <= largest && this.startTasks(job, candidates, mayStartPartially || job.firstStartAt !== undefined)
+      if (!complete && job.firstStartAt === undefined) mayStartPartially = false
+      if (complete || job.firstStartAt !== undefined) largest = largestFreeCpu(candidates)
     }
   }
 
-  /** @returns room of all usable endpoints, at most a few milliseconds old */
+  /** @returns total and free capacity of all usable endpoints, at most `ROOM_CACHE_MS` old */
   room (): ShardRoom {
     const { now } = this.ctx
-    if (this.roomSeen === undefined || now - this.roomSeen.at >= ROOM_AGE_MS) this.roomSeen = { at: now, room: this.countRoom() }
-    return this.roomSeen.room
+    if (this.cachedRoom === undefined || now - this.cachedRoom.at >= ROOM_CACHE_MS) this.cachedRoom = { at: now, room: this.countRoom() }
+    return this.cachedRoom.room
   }
 
   private countRoom (): ShardRoom {
@@ -175,7 +177,7 @@
   }
 
   runEnded (run: LedgerRun, how: RunEnd, seenAtOnce: boolean): void {
-    this.pumpNeeded = true
+    this.startRoundNeeded = true
     const found = this.db.find(run.task)
     if (how === 'done') this.ctx.out.count('shard.tasks.done')
     if (how === 'failed') this.ctx.out.count('shard.tasks.failed')
@@ -196,7 +198,7 @@
     task.run = undefined
     if (reason === 'unhealthy' || reason === 'invalid') {
       task.avoid.add(run.endpoint)
-      this.placement.failed(run.endpoint)
+      this.placement.recordFailure(run.endpoint)
     }
     this.ctx.out.log('task.rejected', { job: job.id, task: task.name, run: run.run, endpoint: run.endpoint, reason })
     this.requeue(job)
@@ -221,11 +223,11 @@
     const step = found.job.steps[found.task.step]
     if (step === undefined) return
     const slowness = slownessOf(step, run, this.expectedMs(found.job, step), this.ctx.now)
-    if (slowness >= MOVE_SLOWNESS) this.move(found.job, step, found.task, run, slowness)
+    if (slowness >= MOVE_SLOWNESS) this.moveIfFaster(found.job, step, found.task, run, slowness)
   }
 
   roomChanged (): void {
-    this.pumpNeeded = true
+    this.startRoundNeeded = true
   }
 
   superseded (failureDomain: FailureDomain, token: FencingToken): void {
@@ -235,27 +237,27 @@
   private makeJob (front: FrontSession, failureDomain: FailureDomain, order: DispatchOrder): OwnedJob {
     const { now, cfg } = this.ctx
     const { queue, job } = order
-    const chainMs = chainOf(job.steps, this.admission.db.ratioOf(queue.name))
+    const criticalPathMs = chainOf(job.steps, this.admission.db.ratioOf(queue.name))
     const sentAt = now - order.ageMs
-    const objective = objectiveOf(queue, chainMs)
+    const objective = objectiveOf(queue, criticalPathMs)
     const steps = makeSteps(order)
-    const callerUntil = ms(now + order.remainingMs)
+    const callerDeadline = ms(now + order.remainingMs)
     const owned: OwnedJob = {
       id: job.id,
       failureDomain,
       order,
       steps,
       receivedAt: now,
-      callerUntil,
+      callerDeadline,
       front,
       confirmedAt: now,
       firstStartAt: undefined,
       mayHaveRun: order.resumed,
       attempt: order.attempt,
       priority: queue.priority,
-      chainMs,
+      criticalPathMs,
       onTimeUntil: ms(sentAt + objective),
-      usefulUntil: ms(Math.min(callerUntil, sentAt + objective * cfg.usefulFactor)),
+      usefulUntil: ms(Math.min(callerDeadline, sentAt + objective * cfg.usefulFactor)),
       hasStarted: () => owned.firstStartAt !== undefined,
       waitingWork: () => this.waitingWorkOf(owned)
     }
@@ -265,7 +267,7 @@
   private waitingWorkOf (job: OwnedJob): number {
     let sum = 0
     for (const step of job.steps) {
-      if (step.missing === 0) continue
+      if (step.unfinishedTasks === 0) continue
       const waiting = step.tasks.reduce((n, task) => n + (task.done || task.run !== undefined ? 0 : 1), 0)
       sum += waiting * step.spec.needs.cpuMilli * this.expectedMs(job, step)
     }
@@ -284,7 +286,7 @@
 
   private admit (job: OwnedJob): boolean {
     if (!this.canFit(job)) return this.decline(job, 'cannotFit', this.ctx.cfg.ownerWaitMs)
-    const verdict = this.admission.judge(job, this.room(), this.ctx.now)
+    const verdict = this.admission.decide(job, this.room(), this.ctx.now)
     return verdict.type === 'admit' || this.decline(job, 'overloaded', verdict.retryAfterMs)
   }
 
@@ -296,7 +298,7 @@
     return false
   }
 
-  /** @returns false when some task fits no endpoint of this shard, however empty */
+  /** @returns false when some task would not fit even an idle endpoint of this shard */
   private canFit (job: OwnedJob): boolean {
     const endpoints = [...this.endpoints.db.all()]
     return job.steps.every(({ spec }) => endpoints.some(({ report }) =>
@@ -334,7 +336,7 @@
 
   private requeue (job: OwnedJob): void {
     this.admission.db.waiting.add(job)
-    this.pumpNeeded = true
+    this.startRoundNeeded = true
   }
 
   private candidates (): Candidate[] {
@@ -349,38 +351,38 @@
 
   /**
    * Starts a job's waiting tasks.
-   * @param inPart - whether some may start while the others wait; only one job at a time is spread over time so
-   * @returns true when every open task has started
+   * @param allowPartial - whether some tasks may start while others still wait; of the jobs that have not started, only one at a time may do so
+   * @returns true when every task of the ready steps has started
    */
-  private startTasks (job: OwnedJob, candidates: readonly Candidate[], inPart: boolean): boolean {
+  private startTasks (job: OwnedJob, candidates: readonly Candidate[], allowPartial: boolean): boolean {
     const plan: PlannedStart[] = []
-    let blocked = 0
-    let later = 0
+    let unplacedTasks = 0
+    let blockedSteps = 0
     for (const step of job.steps) {
-      if (step.missing === 0) continue
-      if (!isOpen(job, step)) {
-        later++
+      if (step.unfinishedTasks === 0) continue
+      if (!isReady(job, step)) {
+        blockedSteps++
         continue
       }
       for (const task of step.tasks) {
         if (task.done || task.run !== undefined) continue
         if (this.planStart(job, step, task, candidates, plan)) continue
-        if (!inPart) return undo(plan)
-        blocked++
+        if (!allowPartial) return releasePlan(plan)
+        unplacedTasks++
       }
     }
     for (const start of plan) this.startTask(job, start)
-    if (blocked === 0 && later === 0) this.admission.db.waiting.delete(job)
-    return blocked === 0
+    if (unplacedTasks === 0 && blockedSteps === 0) this.admission.db.waiting.delete(job)
+    return unplacedTasks === 0
   }
 
   private planStart (job: OwnedJob, step: OwnedStep, task: OwnedTask, candidates: readonly Candidate[], plan: PlannedStart[]): boolean {
     if (this.endpoints.db.runOf(task.name) !== undefined) return false
     const { needs, requiredLabel, preferredRack, maxPerEndpoint } = step.spec
-    const countAt = maxPerEndpoint > 0 ? (id: EndpointId) => countRuns(step, id) + plan.filter(p => p.step === step && p.candidate.endpoint.id === id).length : undefined
-    const candidate = this.placement.choose({ service: job.order.queue.service, needs, requiredLabel, preferredRack, avoid: task.avoid, countAt, maxPerEndpoint }, candidates)
+    const tasksAt = maxPerEndpoint > 0 ? (id: EndpointId) => countRuns(step, id) + plan.filter(p => p.step === step && p.candidate.endpoint.id === id).length : undefined
+    const candidate = this.placement.choose({ service: job.order.queue.service, needs, requiredLabel, preferredRack, avoid: task.avoid, tasksAt, maxPerEndpoint }, candidates)
     if (candidate === undefined) return false
-    this.placement.placed(candidate.endpoint.id)
+    this.placement.recordPlacement(candidate.endpoint.id)
     candidate.room = minus(candidate.room, needs)
     plan.push({ step, task, candidate })
     return true
@@ -389,10 +391,10 @@
   private startTask (job: OwnedJob, { step, task, candidate }: PlannedStart): void {
     task.lastRun++
     task.run = this.endpoints.start(candidate.endpoint, task.name, task.lastRun, job.order.job.spec, step.spec.needs)
-    this.noteFirstStart(job)
+    this.recordFirstStart(job)
   }
 
-  private noteFirstStart (job: OwnedJob): void {
+  private recordFirstStart (job: OwnedJob): void {
     if (job.firstStartAt !== undefined) return
     const { now, out } = this.ctx
     job.firstStartAt = now
@@ -404,16 +406,16 @@
     const step = job.steps[task.step]
     if (step === undefined || task.done) return
     task.done = true
-    step.missing--
-    if (seenAtOnce && run.foundPercent === undefined) this.learn(job, step, run)
-    if (job.steps.every(s => s.missing === 0)) this.end(job, 'completed')
+    step.unfinishedTasks--
+    if (seenAtOnce && run.foundPercent === undefined) this.learnFromRun(job, step, run)
+    if (job.steps.every(s => s.unfinishedTasks === 0)) this.end(job, 'completed')
   }
 
-  private learn (job: OwnedJob, step: OwnedStep, run: LedgerRun): void {
+  private learnFromRun (job: OwnedJob, step: OwnedStep, run: LedgerRun): void {
     const ranMs = this.ctx.now - run.startedAt
-    this.placement.ended(run.endpoint, ranMs / soundMs(step, run, this.expectedMs(job, step)))
-    step.ranMs.push(ranMs)
-    if (!this.placement.isSetAside(run.endpoint)) this.admission.db.learn(job.order.queue.name, ranMs / Math.max(1, step.spec.estimateMs))
+    this.placement.recordCompletion(run.endpoint, ranMs / healthyRunMs(step, run, this.expectedMs(job, step)))
+    step.finishedRunMs.push(ranMs)
+    if (!this.placement.isSetAside(run.endpoint)) this.admission.db.recordRatio(job.order.queue.name, ranMs / Math.max(1, step.spec.estimateMs))
   }
 
   private expectedMs (job: OwnedJob, step: OwnedStep): number {
@@ -422,36 +424,36 @@
 
   private taskFailed (job: OwnedJob, task: OwnedTask, run: LedgerRun): void {
     task.failedAttempts++
-    this.blameFailure(task, run)
+    this.attributeFailure(task, run)
     this.ctx.out.log('task.failed', { job: job.id, task: task.name, run: run.run, endpoint: run.endpoint, attempts: task.failedAttempts, allowed: job.order.queue.maxAttempts })
     if (task.failedAttempts >= job.order.queue.maxAttempts) this.end(job, 'failed')
     else this.requeue(job)
   }
 
-  /** A first failure counts against the endpoint; once the task has failed at two, against neither. */
-  private blameFailure (task: OwnedTask, run: LedgerRun): void {
-    if (task.failedAt.size === 0) {
-      this.placement.failed(run.endpoint)
+  /** Counts a first failure against the endpoint. After a second failure the fault is taken to be the task's, and counts against neither endpoint. */
+  private attributeFailure (task: OwnedTask, run: LedgerRun): void {
+    if (task.failedEndpoints.size === 0) {
+      this.placement.recordFailure(run.endpoint)
     } else if (task.failedAttempts === 2) {
-      for (const id of task.failedAt) this.placement.forgive(id)
+      for (const id of task.failedEndpoints) this.placement.retractFailure(id)
     }
-    task.failedAt.add(run.endpoint)
-    if (task.avoid.size >= AVOIDED_MAX) task.avoid.clear()
+    task.failedEndpoints.add(run.endpoint)
+    if (task.avoid.size >= AVOIDED_ENDPOINTS_MAX) task.avoid.clear()
     task.avoid.add(run.endpoint)
   }
 
   /**
-   * Stops a run that would end sooner if it were started again elsewhere. One that stands still is stopped also while
-   * there is no room: it gains nothing where it is, and takes the next room that becomes free.
+   * Stops a run that would finish sooner if it were restarted on another endpoint. A stalled run is stopped even when no
+   * other endpoint has capacity: it gains nothing where it is, and is started on the next endpoint that has free capacity.
    */
-  private move (job: OwnedJob, step: OwnedStep, task: OwnedTask, run: LedgerRun, slowness: number): void {
+  private moveIfFaster (job: OwnedJob, step: OwnedStep, task: OwnedTask, run: LedgerRun, slowness: number): void {
     if (run.state !== 'running') return
-    const expected = soundMs(step, run, this.expectedMs(job, step))
+    const expected = healthyRunMs(step, run, this.expectedMs(job, step))
     const remaining = expected * slowness * (100 - run.percent) / 100
     if (remaining <= expected + MOVE_COST_MS) return
-    this.placement.stalled(run.endpoint, slowness)
-    const elsewhere = slowness >= STALL_SLOWNESS || this.candidates().some(candidate => candidate.endpoint.id !== run.endpoint && fits(step.spec.needs, candidate.room) && !this.placement.isSetAside(candidate.endpoint.id))
-    if (!elsewhere) return
+    this.placement.recordSlowRun(run.endpoint, slowness)
+    const worthStopping = slowness >= STALL_SLOWNESS || this.candidates().some(candidate => candidate.endpoint.id !== run.endpoint && fits(step.spec.needs, candidate.room) && !this.placement.isSetAside(candidate.endpoint.id))
+    if (!worthStopping) return
     task.avoid.add(run.endpoint)
     this.ctx.out.count('shard.tasks.moved')
     this.ctx.out.log('task.moved', { job: job.id, task: task.name, run: run.run, endpoint: run.endpoint, percent: run.percent, ranMs: Math.round(this.ctx.now - run.startedAt), expectedMs: Math.round(expected) })
@@ -498,34 +500,34 @@
     }
   }
 
-  /** A front that gave a job up may be unable to say so; its caller sends the job again, to any front. */
+  /** The front has not confirmed the job within its lease: it may have given the job up without being able to say so. Its caller resends the job to any front. */
   private isUnwanted (job: OwnedJob): boolean {
     return this.ctx.now - job.confirmedAt > this.ctx.cfg.jobLeaseMs
   }
 
   private tickJob (job: OwnedJob): void {
     const { now } = this.ctx
-    if (now > job.callerUntil) {
+    if (now > job.callerDeadline) {
       this.abandon(job, 'callerDeadline')
       return
     }
     if (this.isUnwanted(job)) this.abandon(job, 'unconfirmed')
   }
 
-  /** Declines waiting jobs that others have gone before, and those whose room was lost. */
-  private judgeAgain (): void {
+  /** Declines waiting jobs that can no longer finish in time because other jobs overtook them or capacity was lost. */
+  private reassessWaitingJobs (): void {
     const { now } = this.ctx
-    if (now < this.judgeAt || this.admission.db.waiting.size === 0) return
-    this.judgeAt = ms(now + JUDGE_AGAIN_MS)
+    if (now < this.nextReassessmentAt || this.admission.db.waiting.size === 0) return
+    this.nextReassessmentAt = ms(now + REASSESS_INTERVAL_MS)
     const room = this.room()
-    const hopeless = this.admission.hopeless(room, now)
-    for (const job of hopeless) this.forget(job)
-    for (const job of hopeless) this.decline(job, 'tooLate', this.admission.retryAfter(room))
+    const tooLate = this.admission.jobsToDecline(room, now)
+    for (const job of tooLate) this.forget(job)
+    for (const job of tooLate) this.decline(job, 'tooLate', this.admission.retryAfter(room))
   }
 }
 
-/** Gives the room of planned starts back. @returns false, as nothing of the job starts */
-function undo (plan: readonly PlannedStart[]): false {
+/** Returns the capacity of the planned starts. @returns false, since no task of the job starts */
+function releasePlan (plan: readonly PlannedStart[]): false {
   for (const { candidate, step } of plan) candidate.room = plus(candidate.room, step.spec.needs)
   return false
 }
--- a/packages/core/src/execution/quickFit.ts
+++ b/packages/core/src/execution/quickFit.ts
@@ -1,30 +1,30 @@
 /**
- * A quick look at whether anything that waits can start at all. Load it answers: a full shard with hundreds of waiting
- * jobs, where every answer of an endpoint asks for another round of placing.
+ * A cheap check whether any waiting task can start at all, made before a full placement round. On a full shard with
+ * hundreds of waiting jobs every answer of an endpoint triggers another round, and most of them could place nothing.
  */
 import type { Candidate } from '../placement/placementDecider.js'
 import type { OwnedJob } from './types.js'
 
-/** @returns the most processor time that is free at one endpoint */
-export function largestRoom (candidates: readonly Candidate[]): number {
+/** @returns the largest amount of CPU that is free at a single endpoint */
+export function largestFreeCpu (candidates: readonly Candidate[]): number {
   let largest = 0
   for (const { room } of candidates) largest = Math.max(largest, room.cpuMilli)
   return largest
 }
 
-/** @returns processor time that the smallest of a job's unfinished steps asks for at one endpoint */
-export function leastCpu (job: Pick<OwnedJob, 'steps'>): number {
+/** @returns the smallest amount of CPU that a task of any unfinished step needs; infinite when all steps are done */
+export function smallestCpuNeed (job: Pick<OwnedJob, 'steps'>): number {
   let least = Infinity
-  for (const { missing, spec } of job.steps) {
-    if (missing > 0) least = Math.min(least, spec.needs.cpuMilli)
+  for (const { unfinishedTasks, spec } of job.steps) {
+    if (unfinishedTasks > 0) least = Math.min(least, spec.needs.cpuMilli)
   }
   return least
 }
 
-/** @returns true when a task of some job asks for no more than the largest room */
-export function anyFits (jobs: Iterable<Pick<OwnedJob, 'steps'>>, largest: number): boolean {
+/** @returns true when some job has a task that needs no more than the given CPU */
+export function anyFits (jobs: Iterable<Pick<OwnedJob, 'steps'>>, freeCpuMilli: number): boolean {
   for (const job of jobs) {
-    if (leastCpu(job) <= largest) return true
+    if (smallestCpuNeed(job) <= freeCpuMilli) return true
   }
   return false
 }
--- a/packages/core/src/execution/types.ts
+++ b/packages/core/src/execution/types.ts
@@ -1,11 +1,11 @@
 /**
- * Types of the execution decision: jobs at the owner of a shard, task by task.
+ * Types of the execution decision: the state that the owner of a shard holds for each job, its steps and its tasks.
  */
 import type { DispatchOrder, EndpointId, FailureDomain, InstanceId, JobId, JobOutcome, Ms, StepSpec, TaskName } from '@cranberryyard/protocol'
 import type { QueuedWork } from '../admission/types.js'
 import type { LedgerRun } from '../endpoints/types.js'
 
-/** One life of the instance that answers the caller. */
+/** One incarnation of the front, the instance that answers the caller. */
 export interface FrontSession {
   readonly instance: InstanceId
   readonly incarnation: number
@@ -18,14 +18,14 @@
   readonly step: number
   readonly index: number
   done: boolean
-  /** The run that takes room, if any. */
+  /** The current run, which occupies capacity at an endpoint, if any. */
   run: LedgerRun | undefined
-  /** Number of the latest run; the next one is higher. */
+  /** Number of the latest run; each new run gets a higher one. */
   lastRun: number
   failedAttempts: number
-  /** Endpoints where a run of the task ended failed. */
-  readonly failedAt: Set<EndpointId>
-  /** Endpoints that the task does not go to again. */
+  /** Endpoints where a run of the task failed. */
+  readonly failedEndpoints: Set<EndpointId>
+  /** Endpoints that the task is not placed on again. */
   readonly avoid: Set<EndpointId>
 }
 
@@ -33,32 +33,32 @@
 export interface OwnedStep {
   readonly spec: StepSpec
   readonly tasks: readonly OwnedTask[]
-  /** Tasks that are not done. */
-  missing: number
-  /** Run times of the tasks that are done. */
-  readonly ranMs: number[]
+  /** Number of tasks that are not done. */
+  unfinishedTasks: number
+  /** Run times of finished tasks whose end was seen without delay. */
+  readonly finishedRunMs: number[]
 }
 
-/** A job at its owner. */
+/** A job held by the owner of its shard. */
 export interface OwnedJob extends QueuedWork {
   readonly id: JobId
   readonly failureDomain: FailureDomain
   readonly order: DispatchOrder
   readonly steps: readonly OwnedStep[]
   readonly receivedAt: Ms
-  /** The caller does not wait any longer. */
-  readonly callerUntil: Ms
+  /** The caller stops waiting at this time. */
+  readonly callerDeadline: Ms
   front: FrontSession
-  /** Latest time at which the front said that it still wants the job. */
+  /** When the front last confirmed that it still wants the job. */
   confirmedAt: Ms
-  /** Number of the front's latest copy. */
+  /** Number of the front's latest submission of the job; a decline refers to it. */
   attempt: number
-  /** When the first task started; undefined while none has. */
+  /** When the first task started; undefined until then. */
   firstStartAt: Ms | undefined
   mayHaveRun: boolean
 }
 
-/** A job that ended, kept to answer a caller that sends it again. */
+/** The outcome of an ended job, kept to answer a caller that resends the job. */
 export interface EndedJob {
   readonly outcome: JobOutcome
   readonly until: Ms
--- a/packages/core/src/placement/placementDb.ts
+++ b/packages/core/src/placement/placementDb.ts
@@ -13,7 +13,7 @@
   private readonly trust = new Map<EndpointId, EndpointTrust>()
 
   /** @returns the endpoint's trust; full for one that is new */
-  of (id: EndpointId): EndpointTrust {
+  trustOf (id: EndpointId): EndpointTrust {
     const known = this.trust.get(id)
     if (known !== undefined) return known
     const fresh: EndpointTrust = { slowness: 1, failures: 0, setAside: false, trialAt: ms(0), trialPauseMs: FIRST_TRIAL_PAUSE_MS }
--- a/packages/core/src/placement/placementDecider.spec.ts
+++ b/packages/core/src/placement/placementDecider.spec.ts
@@ -16,7 +16,7 @@
   requiredLabel: '',
   preferredRack: '',
   avoid: new Set(),
-  countAt: undefined,
+  tasksAt: undefined,
   maxPerEndpoint: 0
 }
 
@@ -34,53 +34,53 @@
   })
 }
 
-const chosen = (placement: PlacementDecider, from: readonly Candidate[], request = REQUEST): string | undefined => placement.choose(request, from)?.endpoint.id
+const chooseId = (placement: PlacementDecider, from: readonly Candidate[], request = REQUEST): string | undefined => placement.choose(request, from)?.endpoint.id
 
 describe('placement', () => {
   it('takes the endpoint that the task fills best', () => {
     const { placement } = setUp()
-    expect(chosen(placement, candidates({ id: 'wide', cpuMilli: 48_000 }, { id: 'tight', cpuMilli: 16_000 }, { id: 'small', cpuMilli: 8000 }))).to.equal('tight')
+    expect(chooseId(placement, candidates({ id: 'wide', cpuMilli: 48_000 }, { id: 'tight', cpuMilli: 16_000 }, { id: 'small', cpuMilli: 8000 }))).to.equal('tight')
   })
 
   it('keeps to labels, racks near the data and endpoints to avoid', () => {
     const { placement } = setUp()
     const from = candidates({ id: 'plain', cpuMilli: 16_000 }, { id: 'labelled', cpuMilli: 48_000, labels: ['gpu', 'r-1'] })
-    expect(chosen(placement, from, { ...REQUEST, requiredLabel: 'gpu' })).to.equal('labelled')
-    expect(chosen(placement, from, { ...REQUEST, preferredRack: 'r-1' })).to.equal('labelled')
-    expect(chosen(placement, from, { ...REQUEST, avoid: new Set(['plain' as EndpointId]) })).to.equal('labelled')
+    expect(chooseId(placement, from, { ...REQUEST, requiredLabel: 'gpu' })).to.equal('labelled')
+    expect(chooseId(placement, from, { ...REQUEST, preferredRack: 'r-1' })).to.equal('labelled')
+    expect(chooseId(placement, from, { ...REQUEST, avoid: new Set(['plain' as EndpointId]) })).to.equal('labelled')
   })
 
   it('sets an endpoint aside after two failures and trusts it again after one good run', () => {
     const { ctx, placement } = setUp()
     const from = candidates({ id: 'bad', cpuMilli: 16_000 })
     const id = 'bad' as EndpointId
-    placement.failed(id)
-    expect(chosen(placement, from)).to.equal('bad')
-    placement.failed(id)
-    expect(chosen(placement, from)).to.equal(undefined)
+    placement.recordFailure(id)
+    expect(chooseId(placement, from)).to.equal('bad')
+    placement.recordFailure(id)
+    expect(chooseId(placement, from)).to.equal(undefined)
     ctx.now = ms(ctx.now + 600)
-    expect(chosen(placement, from)).to.equal('bad')
-    placement.placed(id)
-    expect(chosen(placement, from)).to.equal(undefined)
-    placement.ended(id, 1)
-    expect(chosen(placement, from)).to.equal('bad')
+    expect(chooseId(placement, from)).to.equal('bad')
+    placement.recordPlacement(id)
+    expect(chooseId(placement, from)).to.equal(undefined)
+    placement.recordCompletion(id, 1)
+    expect(chooseId(placement, from)).to.equal('bad')
   })
 
   it('takes failures back when the task failed elsewhere too', () => {
     const { placement } = setUp()
     const id = 'good' as EndpointId
-    placement.failed(id)
-    placement.failed(id)
-    placement.forgive(id)
+    placement.recordFailure(id)
+    placement.recordFailure(id)
+    placement.retractFailure(id)
     expect(placement.isSetAside(id)).to.equal(false)
   })
 
   it('is not moved by one run that is somewhat slow, but by one that stands still', () => {
     const { placement } = setUp()
     const id = 'e' as EndpointId
-    placement.stalled(id, 3)
+    placement.recordSlowRun(id, 3)
     expect(placement.isSetAside(id)).to.equal(false)
-    placement.stalled(id, 10)
+    placement.recordSlowRun(id, 10)
     expect(placement.isSetAside(id)).to.equal(true)
   })
 })
--- a/packages/core/src/placement/placementDecider.ts
+++ b/packages/core/src/placement/placementDecider.ts
@@ -12,15 +12,15 @@
 import type { EndpointTrust, PlacementRequest } from './types.js'
 
 /** Slowness from which an endpoint is set aside; the objective leaves less than this over the plain run time. */
-const SLOW_LIMIT = 2
+const SLOWNESS_LIMIT = 2
 /** Failures in a row from which an endpoint is set aside. */
 const FAILURES_LIMIT = 2
 /** Weight of the latest run in the smoothed slowness. */
 const SLOWNESS_WEIGHT = 0.3
 /** Slowness from which one run is proof enough. */
-const STALLED_LIMIT = 6
+const SINGLE_RUN_SLOWNESS_LIMIT = 6
 /** Weight of a run that was too slow, but not that slow. */
-const STALL_WEIGHT = 0.4
+const SLOW_RUN_WEIGHT = 0.4
 /** Longest pause between trials. */
 const TRIAL_PAUSE_MAX_MS = ms(2400)
 /** Slowness below which endpoints count as equally fast; endpoints of one kind differ by about this much. */
@@ -63,14 +63,14 @@
   }
 
   /** Notes that a task was placed; a set-aside endpoint gets no second one until the trial has ended. */
-  placed (id: EndpointId): void {
-    const trust = this.db.of(id)
+  recordPlacement (id: EndpointId): void {
+    const trust = this.db.trustOf(id)
     if (trust.setAside) this.postponeTrial(trust)
   }
 
   /** @returns true when the endpoint is set aside */
   isSetAside (id: EndpointId): boolean {
-    return this.db.of(id).setAside
+    return this.db.trustOf(id).setAside
   }
 
   /**
@@ -78,46 +78,46 @@
    * @param id - the endpoint
    * @param slowness - its time over the expected time
    */
-  ended (id: EndpointId, slowness: number): void {
-    const trust = this.db.of(id)
+  recordCompletion (id: EndpointId, slowness: number): void {
+    const trust = this.db.trustOf(id)
     trust.failures = 0
     trust.slowness = trust.setAside ? slowness : trust.slowness * (1 - SLOWNESS_WEIGHT) + slowness * SLOWNESS_WEIGHT
-    if (trust.setAside && slowness < SLOW_LIMIT) this.restore(id, trust)
-    else if (!trust.setAside && trust.slowness >= SLOW_LIMIT) this.setAside(id, trust, 'slow')
+    if (trust.setAside && slowness < SLOWNESS_LIMIT) this.restore(id, trust)
+    else if (!trust.setAside && trust.slowness >= SLOWNESS_LIMIT) this.setAside(id, trust, 'slow')
   }
 
   /** Learns from a run that failed or a start that the endpoint turned away. */
-  failed (id: EndpointId): void {
-    const trust = this.db.of(id)
+  recordFailure (id: EndpointId): void {
+    const trust = this.db.trustOf(id)
     trust.failures++
     if (trust.failures >= FAILURES_LIMIT || trust.setAside) this.setAside(id, trust, 'failures')
   }
 
   /** Takes failures back: the task failed elsewhere too, so it is the task that fails. */
-  forgive (id: EndpointId): void {
-    const trust = this.db.of(id)
+  retractFailure (id: EndpointId): void {
+    const trust = this.db.trustOf(id)
     trust.failures = Math.max(0, trust.failures - 1)
-    if (trust.setAside && trust.failures < FAILURES_LIMIT && trust.slowness < SLOW_LIMIT) this.restore(id, trust)
+    if (trust.setAside && trust.failures < FAILURES_LIMIT && trust.slowness < SLOWNESS_LIMIT) this.restore(id, trust)
   }
 
   /** Learns from a run that made too little progress. One that is only somewhat slow may have more work than others. */
-  stalled (id: EndpointId, slowness: number): void {
-    const trust = this.db.of(id)
-    trust.slowness = slowness >= STALLED_LIMIT ? slowness : trust.slowness * (1 - STALL_WEIGHT) + slowness * STALL_WEIGHT
-    if (trust.slowness >= SLOW_LIMIT) this.setAside(id, trust, 'stalled')
+  recordSlowRun (id: EndpointId, slowness: number): void {
+    const trust = this.db.trustOf(id)
+    trust.slowness = slowness >= SINGLE_RUN_SLOWNESS_LIMIT ? slowness : trust.slowness * (1 - SLOW_RUN_WEIGHT) + slowness * SLOW_RUN_WEIGHT
+    if (trust.slowness >= SLOWNESS_LIMIT) this.setAside(id, trust, 'stalled')
   }
 
   private allowed (request: PlacementRequest, endpoint: LedgerEndpoint): boolean {
     const { report } = endpoint
     if (report.service !== request.service || request.avoid.has(endpoint.id)) return false
     if (request.requiredLabel !== '' && !report.labels.includes(request.requiredLabel)) return false
-    if (request.countAt !== undefined && request.countAt(endpoint.id) >= request.maxPerEndpoint) return false
-    const trust = this.db.of(endpoint.id)
+    if (request.tasksAt !== undefined && request.tasksAt(endpoint.id) >= request.maxPerEndpoint) return false
+    const trust = this.db.trustOf(endpoint.id)
     return !trust.setAside || (trust.trialAt <= this.ctx.now && endpoint.runs.size === 0)
   }
 
   private score (request: PlacementRequest, { endpoint, room }: Candidate): number {
-    const trust = this.db.of(endpoint.id)
+    const trust = this.db.trustOf(endpoint.id)
     const unused = (room.cpuMilli - request.needs.cpuMilli) / Math.max(1, endpoint.report.capacity.cpuMilli)
     const slow = Math.max(0, trust.slowness - SPEED_TOLERANCE) * SLOWNESS_PENALTY
     const far = request.preferredRack !== '' && !endpoint.report.labels.includes(request.preferredRack) ? FAR_RACK_PENALTY : 0
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -25,6 +25,6 @@
   /** Endpoints where the task failed or was too slow. */
   readonly avoid: ReadonlySet<EndpointId>
   /** Tasks of the step that an endpoint already has, when the step limits them. */
-  readonly countAt: ((endpoint: EndpointId) => number) | undefined
+  readonly tasksAt: ((endpoint: EndpointId) => number) | undefined
   readonly maxPerEndpoint: number
 }
