--- a/packages/core/src/admission/admissionDecider.spec.ts
+++ b/packages/core/src/admission/admissionDecider.spec.ts
@@ -15,7 +15,7 @@
 }
 
 describe('admission', () => {
-  it('starts jobs at work first, then those still on time by their latest start, then late ones', () => {
+  it('orders started jobs first, then those still on time by their latest start, then late ones', () => {
     const admission = new AdmissionDecider<NamedWork>()
     const jobs = [
       makeWork('late', { onTimeUntil: ms(1050) }),
@@ -28,14 +28,14 @@
     expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['at work', 'urgent', 'relaxed', 'late', 'useless'])
   })
 
-  it('prefers the more important of two jobs whose latest starts are close', () => {
+  it('starts the job with the lower priority number first when the latest starts of two jobs are close', () => {
     const admission = new AdmissionDecider<NamedWork>()
     admission.db.waiting.add(makeWork('minor', { priority: 2, onTimeUntil: ms(1200) }))
     admission.db.waiting.add(makeWork('major', { priority: 0, onTimeUntil: ms(1230) }))
     expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['major', 'minor'])
   })
 
-  it('declines at once what cannot have its turn while it is of use, and says when to come back', () => {
+  it('declines on arrival a job that cannot finish while it is useful, and gives a retry delay', () => {
     const admission = new AdmissionDecider<NamedWork>()
     for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
     const verdict = admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000))
@@ -43,9 +43,9 @@
     if (verdict.type === 'decline') expect(verdict.retryAfterMs).to.be.within(1000, 5000)
   })
 
-  it('declines of a burst only what is too much, and never what has run', () => {
+  it('declines only the jobs of a burst that exceed the capacity, and never a job that may have run', () => {
     const admission = new AdmissionDecider<NamedWork>()
-    // Each job takes the room for 11.8 ms; 76 of them end their wait within the 900 ms that are of use.
+    // Each job occupies the usable capacity for 11.8 ms, so the work of 76 of them fits into the 900 ms within which a start is still useful.
     for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`burst ${i}`))
     admission.db.waiting.add(makeWork('has run', { mayHaveRun: true, onTimeUntil: ms(5000), criticalPathMs: ms(1) }))
     const declined = admission.jobsToDecline(ROOM, ms(1000)).map(job => job.name)
@@ -53,7 +53,7 @@
     expect(declined).not.to.include('has run')
   })
 
-  it('admits what has its turn in time', () => {
+  it('admits a job that can finish while it is useful', () => {
     const admission = new AdmissionDecider<NamedWork>()
     for (let i = 0; i < 10; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
     expect(admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000)).type).to.equal('admit')
--- a/packages/core/src/admission/admissionDecider.ts
+++ b/packages/core/src/admission/admissionDecider.ts
@@ -1,33 +1,33 @@
 /**
- * Decides whose tasks start next and which jobs are turned away. Jobs with tasks at work go on first; then those that
- * can still meet their objective, by the latest start that meets it; those that can only be late follow while room is
- * left over. A job whose turn cannot come while its answer is of use is declined when that becomes clear.
- * Load it answers: bursts of one kind or of all beyond the room of the shard, and a domain whose endpoints are lost;
- * first come, first served would then make every job late.
+ * Decides the order in which jobs start their tasks, and which jobs are declined. Started jobs come first, then jobs that
+ * can still meet their latency objective, ordered by the latest start that meets it, and last, with the remaining
+ * capacity, jobs that can only be late. A job is declined as soon as it is clear that it cannot finish while its answer
+ * is still useful. This matters under overload, that is when a burst of one or all kinds of jobs exceeds the capacity of
+ * the shard or a failure domain loses endpoints: serving jobs in order of arrival would then make every job late.
  */
 import type { Ms } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import { AdmissionDb } from './admissionDb.js'
 import type { AdmissionVerdict, QueuedWork, ShardRoom } from './types.js'
 
-/** What one step of priority weighs against an earlier latest start. */
+/** Added to the latest start per priority level when jobs are ordered; a higher number is less important. */
 const PRIORITY_STEP_MS = 40
-/** Share of the room that tasks of uneven size can fill. */
+/** Share of the capacity that can be used, since tasks of uneven size do not fill endpoints completely. */
 const PACKING_SHARE = 0.85
-/** Least and longest time after which a declined caller is told to come back. */
+/** Shortest and longest retry delay given to a declined caller. */
 const RETRY_MIN_MS = 1000
 const RETRY_MAX_MS = 5000
-/** Longest wait that is told; without any usable room it has no end. */
+/** Upper bound of the reported wait; without any usable capacity the wait would be unbounded. */
 const BACKLOG_MAX_MS = 60_000
 
-/** The admission decision. */
+/** Orders and declines the waiting jobs of one owner. */
 export class AdmissionDecider<T extends QueuedWork> {
   readonly db = new AdmissionDb<T>()
 
   /**
-   * Decides on a job that arrives.
+   * Admits or declines a newly arrived job.
    * @param job - the job
-   * @param room - the shard's room
+   * @param room - the shard's capacity
    * @param now - the time
    */
   decide (job: QueuedWork, room: ShardRoom, now: Ms): AdmissionVerdict {
@@ -36,18 +36,18 @@
     return { type: 'decline', retryAfterMs: this.retryAfter(room) }
   }
 
-  /** @returns jobs in the order in which their tasks start */
+  /** @returns the waiting jobs in the order in which their tasks start */
   inStartOrder (now: Ms): T[] {
     const ranked = [...this.db.waiting].map(job => ({ job, tier: tier(job, now), rank: rank(job) }))
     return ranked.sort((a, b) => a.tier - b.tier || a.rank - b.rank).map(({ job }) => job)
   }
 
   /**
-   * Judges all waiting jobs again, in the order in which they start. Work that is declined makes way for what follows,
-   * so that a burst costs only the jobs that are too many.
-   * @param room - the shard's room
+   * Reassesses all waiting jobs in start order. The work of a declined job no longer delays the jobs behind it, so a burst
+   * costs only the jobs that exceed the capacity. A job that may already have run is never declined.
+   * @param room - the shard's capacity
    * @param now - the time
-   * @returns jobs whose turn cannot come while their answer is of use
+   * @returns jobs that cannot finish while their answer is still useful
    */
   jobsToDecline (room: ShardRoom, now: Ms): T[] {
     const declined: T[] = []
@@ -60,14 +60,14 @@
     return declined
   }
 
-  /** @returns expected wait of a job that arrives now and takes its turn behind everything that waits */
+  /** @returns expected wait of a job that arrives now and starts after all waiting jobs */
   backlogMs (room: ShardRoom): Ms {
     const waiting = this.db.waitingWork()
     if (waiting === 0) return ms(0)
     return ms(Math.min(BACKLOG_MAX_MS, waiting / usableCpu(room)))
   }
 
-  /** @returns when callers that are declined now had best come back */
+  /** @returns delay after which callers that are declined now should retry */
   retryAfter (room: ShardRoom): Ms {
     return ms(Math.min(RETRY_MAX_MS, Math.max(RETRY_MIN_MS, this.backlogMs(room))))
   }
@@ -85,7 +85,7 @@
   }
 }
 
-/** Smaller goes first: at work and of use, on time, late, of no use any more. */
+/** Lower tiers start first: 0 for started jobs that are still useful, 1 on time, 2 late, 3 no longer useful. */
 function tier (job: QueuedWork, now: Ms): number {
   if (now + job.criticalPathMs <= job.onTimeUntil) return job.hasStarted() ? 0 : 1
   if (now > job.usefulUntil) return 3
--- a/packages/core/src/admission/types.ts
+++ b/packages/core/src/admission/types.ts
@@ -1,37 +1,38 @@
 /**
- * Types of the admission decision: a job's times, and what the owner's queue tells about its load.
+ * Types of the admission decision: the deadlines and the waiting work of a job, and the capacity of a shard. Admission sees a
+ * job only through these, without its steps, tasks and endpoints.
  */
 import type { Ms } from '@cranberryyard/protocol'
 
-/** Times of a job on this instance's clock. */
+/** Deadlines and expected duration of a job; times are on this instance's clock. */
 export interface JobTimes {
-  /** End of the objective: an answer by then is on time. */
+  /** End of the latency objective: an answer by this time is on time. */
   readonly onTimeUntil: Ms
-  /** An answer after this is of no use to the caller. */
+  /** An answer after this time is of no use to the caller. */
   readonly usefulUntil: Ms
-  /** Expected time of the longest chain of steps. */
+  /** Expected duration of the critical path, the longest chain of dependent steps. */
   readonly criticalPathMs: Ms
 }
 
-/** What the queue has to know of a job. */
+/** What admission needs to know about a waiting job. */
 export interface QueuedWork extends JobTimes {
   readonly priority: number
-  /** Some task has started: the rest goes first, so that what is done is of use. */
+  /** Whether some task has started. The remaining tasks then take precedence, so that finished work is not wasted. */
   readonly hasStarted: () => boolean
-  /** A run of the job existed at some time; it can no longer be declined. */
+  /** Whether a run of the job may ever have existed; such a job can no longer be declined. */
   readonly mayHaveRun: boolean
-  /** Thousandths of a core times milliseconds that are still to be started. */
+  /** Work of the tasks still to be started, in thousandths of a core times milliseconds. */
   readonly waitingWork: () => number
 }
 
-/** Room of a shard as a whole. */
+/** Total and free capacity of a shard. */
 export interface ShardRoom {
-  /** Thousandths of a core at endpoints that take work. */
+  /** Thousandths of a core at endpoints that accept work. */
   readonly totalCpuMilli: number
   readonly freeCpuMilli: number
 }
 
-/** Whether a job is taken. */
+/** Whether a job is admitted, and otherwise when its caller should retry. */
 export type AdmissionVerdict =
   | { readonly type: 'admit' }
   | { readonly type: 'decline', readonly retryAfterMs: Ms }
--- a/packages/core/src/placement/placementDb.ts
+++ b/packages/core/src/placement/placementDb.ts
@@ -1,18 +1,18 @@
 /**
- * State of the placement decision: trust in each endpoint.
+ * State of the placement decision: how far each endpoint is trusted, judged by its recent runs.
  */
 import type { EndpointId } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { EndpointTrust } from './types.js'
 
-/** Pause before the first trial of an endpoint that was set aside. */
+/** Pause before an endpoint that was set aside gets its first trial task. */
 export const FIRST_TRIAL_PAUSE_MS = ms(600)
 
-/** Trust by endpoint. */
+/** Trust records by endpoint. */
 export class PlacementDb {
   private readonly trust = new Map<EndpointId, EndpointTrust>()
 
-  /** @returns the endpoint's trust; full for one that is new */
+  /** @returns the endpoint's trust record; a new endpoint starts with full trust */
   trustOf (id: EndpointId): EndpointTrust {
     const known = this.trust.get(id)
     if (known !== undefined) return known
@@ -21,7 +21,7 @@
     return fresh
   }
 
-  /** Forgets an endpoint; another life starts with full trust. */
+  /** Forgets an endpoint; its next incarnation starts with full trust. */
   forget (id: EndpointId): void {
     this.trust.delete(id)
   }
--- a/packages/core/src/placement/placementDecider.spec.ts
+++ b/packages/core/src/placement/placementDecider.spec.ts
@@ -37,12 +37,12 @@
 const chooseId = (placement: PlacementDecider, from: readonly Candidate[], request = REQUEST): string | undefined => placement.choose(request, from)?.endpoint.id
 
 describe('placement', () => {
-  it('takes the endpoint that the task fills best', () => {
+  it('chooses the endpoint that the task leaves with the least unused capacity', () => {
     const { placement } = setUp()
     expect(chooseId(placement, candidates({ id: 'wide', cpuMilli: 48_000 }, { id: 'tight', cpuMilli: 16_000 }, { id: 'small', cpuMilli: 8000 }))).to.equal('tight')
   })
 
-  it('keeps to labels, racks near the data and endpoints to avoid', () => {
+  it('respects the required label, the preferred rack and the endpoints to avoid', () => {
     const { placement } = setUp()
     const from = candidates({ id: 'plain', cpuMilli: 16_000 }, { id: 'labelled', cpuMilli: 48_000, labels: ['gpu', 'r-1'] })
     expect(chooseId(placement, from, { ...REQUEST, requiredLabel: 'gpu' })).to.equal('labelled')
@@ -50,7 +50,7 @@
     expect(chooseId(placement, from, { ...REQUEST, avoid: new Set(['plain' as EndpointId]) })).to.equal('labelled')
   })
 
-  it('sets an endpoint aside after two failures and trusts it again after one good run', () => {
+  it('sets an endpoint aside after two failures and trusts it again after one successful trial', () => {
     const { ctx, placement } = setUp()
     const from = candidates({ id: 'bad', cpuMilli: 16_000 })
     const id = 'bad' as EndpointId
@@ -66,7 +66,7 @@
     expect(chooseId(placement, from)).to.equal('bad')
   })
 
-  it('takes failures back when the task failed elsewhere too', () => {
+  it('retracts a failure when the task failed on another endpoint too', () => {
     const { placement } = setUp()
     const id = 'good' as EndpointId
     placement.recordFailure(id)
@@ -75,7 +75,7 @@
     expect(placement.isSetAside(id)).to.equal(false)
   })
 
-  it('is not moved by one run that is somewhat slow, but by one that stands still', () => {
+  it('sets an endpoint aside for a single stalled run, but not for a single moderately slow one', () => {
     const { placement } = setUp()
     const id = 'e' as EndpointId
     placement.recordSlowRun(id, 3)
--- a/packages/core/src/placement/placementDecider.ts
+++ b/packages/core/src/placement/placementDecider.ts
@@ -1,7 +1,8 @@
 /**
- * Chooses the endpoint for a task: the fullest one that still fits, among those that recent runs show to be sound.
- * Load it answers: most endpoints hold two or three tasks, so one task in the wrong place blocks a whole slot; some
- * endpoints are slow, hang or fail everything, and each task given to them is late.
+ * Chooses the endpoint for a task: best fit among the endpoints that recent runs show to be healthy. Best fit matters
+ * because most endpoints have room for only two or three tasks, so one badly placed task blocks a whole slot. Trust matters
+ * because some endpoints are slow, hang or fail every task, and each task placed on them is late; an endpoint that loses
+ * trust is set aside and gets single trial tasks until one of them succeeds.
  */
 import type { EndpointId, Resources } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -11,41 +12,41 @@
 import { FIRST_TRIAL_PAUSE_MS, PlacementDb } from './placementDb.js'
 import type { EndpointTrust, PlacementRequest } from './types.js'
 
-/** Slowness from which an endpoint is set aside; the objective leaves less than this over the plain run time. */
+/** Slowness from which an endpoint is set aside; the latency objective allows less than this factor over the plain run time. */
 const SLOWNESS_LIMIT = 2
-/** Failures in a row from which an endpoint is set aside. */
+/** Number of consecutive failures after which an endpoint is set aside. */
 const FAILURES_LIMIT = 2
-/** Weight of the latest run in the smoothed slowness. */
+/** Weight of the latest successful run in the moving average of slowness. */
 const SLOWNESS_WEIGHT = 0.3
-/** Slowness from which one run is proof enough. */
+/** Slowness from which a single run is enough evidence to set an endpoint aside. */
 const SINGLE_RUN_SLOWNESS_LIMIT = 6
-/** Weight of a run that was too slow, but not that slow. */
+/** Weight of a slow run below that limit in the moving average of slowness. */
 const SLOW_RUN_WEIGHT = 0.4
-/** Longest pause between trials. */
+/** Upper bound of the pause between trials, which doubles each time. */
 const TRIAL_PAUSE_MAX_MS = ms(2400)
-/** Slowness below which endpoints count as equally fast; endpoints of one kind differ by about this much. */
+/** Slowness up to which endpoints count as equally fast; endpoints of one kind differ by about this much. */
 const SPEED_TOLERANCE = 1.1
-/** What slowness costs against unused room, both as shares. */
+/** Score added per unit of excess slowness, relative to a score of 1 for an entirely unused endpoint. */
 const SLOWNESS_PENALTY = 0.5
-/** What a rack far from the data costs. */
+/** Score added for an endpoint outside the preferred rack, which is near the data. */
 const FAR_RACK_PENALTY = 2
 
-/** An endpoint with the room it has left in this round of placing. */
+/** An endpoint with its remaining capacity in the current placement round. */
 export interface Candidate {
   readonly endpoint: LedgerEndpoint
   room: Resources
 }
 
-/** The placement decision. */
+/** Chooses endpoints for tasks and keeps track of which endpoints can be trusted. */
 export class PlacementDecider {
   readonly db = new PlacementDb()
 
   constructor (private readonly ctx: ShardContext) {}
 
   /**
-   * Chooses an endpoint.
-   * @param request - what the task asks
-   * @param candidates - usable endpoints with their room
+   * Chooses the allowed endpoint with the lowest score.
+   * @param request - requirements of the task
+   * @param candidates - usable endpoints with their remaining capacity
    * @returns the chosen candidate, or undefined when none fits now
    */
   choose (request: PlacementRequest, candidates: readonly Candidate[]): Candidate | undefined {
@@ -62,21 +63,21 @@
     return best
   }
 
-  /** Notes that a task was placed; a set-aside endpoint gets no second one until the trial has ended. */
+  /** Records a placement. At an endpoint that is set aside it is a trial, and no second task is placed there until the trial has ended. */
   recordPlacement (id: EndpointId): void {
     const trust = this.db.trustOf(id)
     if (trust.setAside) this.postponeTrial(trust)
   }
 
-  /** @returns true when the endpoint is set aside */
+  /** Whether the endpoint has lost its trust and gets only trial tasks. */
   isSetAside (id: EndpointId): boolean {
     return this.db.trustOf(id).setAside
   }
 
   /**
-   * Learns from a run that ended done.
+   * Records a successful run. Its slowness decides whether the endpoint keeps, loses or regains its trust.
    * @param id - the endpoint
-   * @param slowness - its time over the expected time
+   * @param slowness - run time divided by the expected run time
    */
   recordCompletion (id: EndpointId, slowness: number): void {
     const trust = this.db.trustOf(id)
@@ -86,21 +87,21 @@
     else if (!trust.setAside && trust.slowness >= SLOWNESS_LIMIT) this.setAside(id, trust, 'slow')
   }
 
-  /** Learns from a run that failed or a start that the endpoint turned away. */
+  /** Records a failed run or a start that the endpoint rejected as unhealthy or invalid. */
   recordFailure (id: EndpointId): void {
     const trust = this.db.trustOf(id)
     trust.failures++
     if (trust.failures >= FAILURES_LIMIT || trust.setAside) this.setAside(id, trust, 'failures')
   }
 
-  /** Takes failures back: the task failed elsewhere too, so it is the task that fails. */
+  /** Retracts one failure, because the task failed on another endpoint too and is itself the cause. */
   retractFailure (id: EndpointId): void {
     const trust = this.db.trustOf(id)
     trust.failures = Math.max(0, trust.failures - 1)
     if (trust.setAside && trust.failures < FAILURES_LIMIT && trust.slowness < SLOWNESS_LIMIT) this.restore(id, trust)
   }
 
-  /** Learns from a run that made too little progress. One that is only somewhat slow may have more work than others. */
+  /** Records a running task that makes too little progress. A moderately slow one may just have more work than others, so it counts only in part. */
   recordSlowRun (id: EndpointId, slowness: number): void {
     const trust = this.db.trustOf(id)
     trust.slowness = slowness >= SINGLE_RUN_SLOWNESS_LIMIT ? slowness : trust.slowness * (1 - SLOW_RUN_WEIGHT) + slowness * SLOW_RUN_WEIGHT
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,30 +1,30 @@
 /**
- * Types of the placement decision: how far an endpoint is trusted, and what a task asks of its endpoint.
+ * Types of the placement decision: the trust in an endpoint, and the requirements of a task.
  */
 import type { EndpointId, Ms, Resources, ServiceName } from '@cranberryyard/protocol'
 
-/** What recent runs say about an endpoint. */
+/** Trust in an endpoint, derived from its recent runs. */
 export interface EndpointTrust {
-  /** Run time over the expected one, smoothed; 1 is sound. */
+  /** Moving average of run time divided by expected run time; 1 is healthy. */
   slowness: number
-  /** Failures and refusals since the last run that ended done. */
+  /** Failed runs and rejected starts since the last successful run. */
   failures: number
   setAside: boolean
-  /** When a set-aside endpoint may get one task to prove itself. */
+  /** When an endpoint that is set aside may get its next trial task. */
   trialAt: Ms
-  /** Pause before the next trial; doubles with each one that goes wrong. */
+  /** Pause before the next trial; doubles with each postponement, up to a maximum. */
   trialPauseMs: Ms
 }
 
-/** What a task asks of its endpoint. */
+/** Requirements of a task on its endpoint. */
 export interface PlacementRequest {
   readonly service: ServiceName
   readonly needs: Resources
   readonly requiredLabel: string
   readonly preferredRack: string
-  /** Endpoints where the task failed or was too slow. */
+  /** Endpoints where the task failed, was rejected or was too slow. */
   readonly avoid: ReadonlySet<EndpointId>
-  /** Tasks of the step that an endpoint already has, when the step limits them. */
+  /** Number of tasks of the step that an endpoint already has; undefined when the step sets no limit per endpoint. */
   readonly tasksAt: ((endpoint: EndpointId) => number) | undefined
   readonly maxPerEndpoint: number
 }
