--- a/packages/core/src/desired/desiredDb.ts
+++ b/packages/core/src/desired/desiredDb.ts
@@ -1,35 +1,36 @@
 /**
- * The desired state in force at this instance. It only moves to a higher version.
+ * Holds the version of the desired state that is in force at this instance and looks up queues in it. The decider only
+ * puts a higher version in force than the one before.
  */
 import type { DesiredState, QueueTerms } from '@cranberryyard/protocol'
 
-/** State of the desired state. */
+/** The desired state in force, indexed by host. */
 export class DesiredDb {
   private current: DesiredState | undefined
   private readonly byHost = new Map<string, QueueTerms[]>()
 
-  /** The version in force. */
+  /** The desired state in force; undefined before the first. */
   get state (): DesiredState | undefined {
     return this.current
   }
 
-  /** Puts a version in force. */
+  /** Replaces the desired state in force. */
   take (state: DesiredState): void {
     this.current = state
     this.byHost.clear()
     for (const queue of state.queues) {
-      const others = this.byHost.get(queue.host)
-      if (others === undefined) this.byHost.set(queue.host, [queue])
-      else others.push(queue)
+      const queuesOfHost = this.byHost.get(queue.host)
+      if (queuesOfHost === undefined) this.byHost.set(queue.host, [queue])
+      else queuesOfHost.push(queue)
     }
   }
 
-  /** @returns the version in force, 0 for none */
+  /** Returns the version in force, or 0 before the first. */
   version (): number {
     return this.current?.version ?? 0
   }
 
-  /** @returns the queue with the longest prefix that the path begins with */
+  /** Returns the host's queue with the longest prefix that matches the path. */
   queueFor (host: string, path: string): QueueTerms | undefined {
     let best: QueueTerms | undefined
     for (const queue of this.byHost.get(host) ?? []) {
--- a/packages/core/src/desired/desiredDecider.ts
+++ b/packages/core/src/desired/desiredDecider.ts
@@ -1,59 +1,63 @@
 /**
- * Brings versions of the desired state into force, from the store or from a peer that heard of one first.
+ * Decides which version of the desired state is in force and when to request one from a peer. New versions normally come
+ * from the store. A peer is asked for its copy when the store is unreachable or late with a version that the peer mentions.
  */
 import type { DesiredState, InstanceId, Ms, ShardMessage } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
 import { DesiredDb } from './desiredDb.js'
 
-/** Sends a message to a peer whose address is known. */
-export type Tell = (to: InstanceId, message: ShardMessage) => void
+/** Sends a message to a peer. */
+export type SendToPeer = (to: InstanceId, message: ShardMessage) => void
 
-/** The store's own word of a new version is on its way when a peer mentions one; only one that is late is asked for. */
-const ASK_AFTER_MS = 500
-/** Time for a peer's copy to arrive before another peer is asked; half a megabyte at a few Mbit/s. */
-const ASK_AGAIN_MS = 1500
+/**
+ * Time for the store to deliver a version that a peer has mentioned. Its update is usually on the way already, so a peer
+ * is asked only when the update is late.
+ */
+const REQUEST_DELAY_MS = 500
+/** Minimum time between two requests to peers: a copy of half a megabyte must be able to arrive at a few Mbit/s. */
+const MIN_REQUEST_INTERVAL_MS = 1500
 
-/** The desired state's decisions. */
+/** Puts versions of the desired state in force and exchanges copies with peers. */
 export class DesiredDecider {
   readonly db = new DesiredDb()
-  /** Peers that wait for a copy; one is served a tick, since a state of many queues fills a link. */
-  private readonly askers = new Set<InstanceId>()
+  /** Peers that wait for a copy. One is served per tick, because a state with many queues saturates a connection. */
+  private readonly requesters = new Set<InstanceId>()
   private behindSince: Ms | undefined
-  private askedAt = -Infinity
+  private lastRequestAt = -Infinity
 
-  constructor (private readonly ctx: ShardContext, private readonly tell: Tell, private readonly storeReachable: () => boolean) {}
+  constructor (private readonly ctx: ShardContext, private readonly tell: SendToPeer, private readonly storeReachable: () => boolean) {}
 
-  /** Takes a version; an older one or the same is ignored. */
+  /** Puts a version in force if it is higher than the current one. */
   take (state: DesiredState, source: string): void {
     const before = this.db.version()
     if (state.version <= before) return
     this.db.take(state)
     this.behindSince = undefined
-    this.askedAt = -Infinity
+    this.lastRequestAt = -Infinity
     this.ctx.out.log('desired.inForce', { version: state.version, before, source, queues: state.queues.length })
   }
 
-  /** A peer mentioned its version; it is asked for a newer one when the store does not bring it. */
+  /** A peer mentioned its version. It is asked for a copy if the version is newer and the store does not deliver it in time. */
   heard (from: InstanceId, version: number): void {
     if (version <= this.db.version()) return
     const { now } = this.ctx
     this.behindSince ??= now
-    const late = !this.storeReachable() || now - this.behindSince >= ASK_AFTER_MS
-    if (!late || now - this.askedAt < ASK_AGAIN_MS) return
-    this.askedAt = now
+    const isOverdue = !this.storeReachable() || now - this.behindSince >= REQUEST_DELAY_MS
+    if (!isOverdue || now - this.lastRequestAt < MIN_REQUEST_INTERVAL_MS) return
+    this.lastRequestAt = now
     this.tell(from, { type: 'desiredRequest' })
   }
 
-  /** A peer asks for the desired state. */
-  asked (from: InstanceId): void {
-    this.askers.add(from)
+  /** A peer requests the desired state; `tick` answers it. */
+  stateRequested (from: InstanceId): void {
+    this.requesters.add(from)
   }
 
-  /** Answers one of the peers that asked. */
+  /** Sends the desired state to the peer that has waited longest. */
   tick (): void {
-    const [next] = this.askers
+    const [next] = this.requesters
     if (next === undefined || this.db.state === undefined) return
-    this.askers.delete(next)
+    this.requesters.delete(next)
     this.tell(next, { type: 'desired', state: this.db.state })
   }
 }
--- a/packages/core/src/ownership/ownershipDb.ts
+++ b/packages/core/src/ownership/ownershipDb.ts
@@ -1,22 +1,24 @@
 /**
- * State of the ownership decision: records read from the store and what this instance owns.
+ * State of the ownership decision: the member and shard records read from the store, the shards that this instance owns,
+ * and the claim it is waiting on. It also derives fencing tokens from record revisions. The rules that change this state
+ * are in `ownershipDecider.ts`.
  */
 import type { FailureDomain, FencingToken, InstanceId, MemberRecord, Revised, ShardRecord } from '@cranberryyard/protocol'
 import type { Ownership, PendingClaim } from './types.js'
 
-/** Tokens of one record: its owner's and one for each successor. */
+/** Number of fencing tokens that one revision of a record provides: one for its owner and one for each successor. */
 const TOKENS_PER_RECORD = 64
 
 /**
- * Computes the token of a place in a record. Every later record has higher ones.
+ * Computes the fencing token for a rank in a record. All tokens of a later revision are higher than those of earlier ones.
  * @param revision - the record's revision in the store
- * @param rank - 0 for the owner, 1 and up for successors
+ * @param rank - 0 for the owner, 1 and up for its successors, in order
  */
 export function tokenOf (revision: number, rank: number): FencingToken {
   return (revision * TOKENS_PER_RECORD + Math.min(rank, TOKENS_PER_RECORD - 1)) as FencingToken
 }
 
-/** Records and ownerships. */
+/** Records from the store and the shards that this instance owns. */
 export class OwnershipDb {
   readonly members = new Map<InstanceId, MemberRecord>()
   readonly records = new Map<FailureDomain, Revised<ShardRecord>>()
@@ -24,7 +26,10 @@
   claim: PendingClaim | undefined
   recordsRead = false
 
-  /** @returns members of a failure domain but one, those with the most processor time first; all instances share the order */
+  /**
+   * Lists the members of a failure domain without the given one, sorted by processor time, highest first. Ties are
+   * broken by name, so every instance computes the same order.
+   */
   membersOf (failureDomain: FailureDomain, except: InstanceId): MemberRecord[] {
     return [...this.members.values()]
       .filter(member => member.failureDomain === failureDomain && member.instance !== except)
--- a/packages/core/src/ownership/ownershipDecider.spec.ts
+++ b/packages/core/src/ownership/ownershipDecider.spec.ts
@@ -31,7 +31,7 @@
 }
 
 describe('ownership', () => {
-  it('claims a shard without a record and owns it with the token of the write', () => {
+  it('claims a shard that has no record and owns it with the token of the written revision', () => {
     const { ctx, ownership, changes } = setUp()
     ownership.recordsRead(members('me', 'other'), [])
     ownership.tick()
@@ -42,7 +42,7 @@
     expect(changes).to.deep.equal([`gained ${tokenOf(40, 0)}`])
   })
 
-  it('leaves a shard to an owner that is heard, and claims it once the owner is lost', () => {
+  it('does not claim a shard while its owner is live, and claims it once the owner is lost', () => {
     const { ctx, ownership, sessions } = setUp()
     ownership.recordsRead(members('me', 'owner'), [record(40, 'owner', 'me')])
     sessions.heard('owner' as InstanceId, 1, 'owner')
@@ -53,7 +53,7 @@
     expect(claims(ctx).map(claim => claim.expectedRevision)).to.deep.equal([40])
   })
 
-  it('lets successors claim one after the other', () => {
+  it('delays the claim of a later successor by its rank', () => {
     const { ctx, ownership, sessions } = setUp()
     ownership.recordsRead(members('me', 'owner', 'first'), [record(40, 'owner', 'first', 'me')])
     sessions.unreachable('owner' as InstanceId)
@@ -64,7 +64,7 @@
     expect(claims(ctx).length).to.equal(1)
   })
 
-  it('takes over by its place in the record while the store does not answer, with a token above the owner\'s', () => {
+  it('takes over by its rank in the record while the store does not answer, with a token above the owner\'s', () => {
     const { ctx, ownership, sessions, changes } = setUp()
     ownership.recordsRead(members('me', 'owner'), [record(40, 'owner', 'me')])
     sessions.unreachable('owner' as InstanceId)
@@ -76,7 +76,7 @@
     expect(tokenOf(41, 0)).to.be.greaterThan(tokenOf(40, 1))
   })
 
-  it('steps down for a newer record and does not claim back at once', () => {
+  it('steps down for a newer record and waits before it claims the shard again', () => {
     const { ctx, ownership, sessions, changes } = setUp()
     ownership.recordsRead(members('me', 'other'), [])
     ownership.tick()
@@ -106,7 +106,7 @@
     expect(changes.at(-1)).to.equal('lost to other')
   })
 
-  it('hands its shard to a live successor with clearly more processor time, once it has settled', () => {
+  it('hands its shard to a live successor with clearly more processor time after owning it for a while', () => {
     const { ctx, ownership, sessions, changes } = setUp()
     const strong = { revision: 1, value: member('strong', 1, CPU_MILLI * 2) }
     const equal = { revision: 1, value: member('equal', 1, CPU_MILLI) }
@@ -124,7 +124,7 @@
     expect(changes.at(-1)).to.equal('lost to strong')
   })
 
-  it('keeps its shard to the end when there is no successor', () => {
+  it('keeps its shard when it leaves and there is no successor', () => {
     const { ctx, ownership } = setUp()
     ownership.recordsRead(members('me'), [])
     ownership.tick()
--- a/packages/core/src/ownership/types.ts
+++ b/packages/core/src/ownership/types.ts
@@ -1,28 +1,32 @@
 /**
- * Types of the ownership decision: which instance may give orders to the endpoints of a failure domain.
+ * Types of the ownership decision, which determines whether this instance may send orders to the endpoints of a failure
+ * domain. The state and the rules use them; listeners receive the outcome.
  */
 import type { FailureDomain, FencingToken, InstanceId, Ms } from '@cranberryyard/protocol'
 
-/** This instance's right to a shard. */
+/** A shard that this instance owns, with the fencing token it owns it under. */
 export interface Ownership {
   readonly failureDomain: FailureDomain
   token: FencingToken
-  /** Place in the record: 0 for the owner named there, 1 and up for its successors. */
+  /** Rank in the record: 0 for the owner named there, 1 and up for its successors. */
   rank: number
-  /** Revision of the record that the token comes from. */
+  /** Revision of the record that the token is derived from. */
   revision: number
   readonly since: Ms
 }
 
-/** A claim on a shard that the store has not answered. */
+/** A claim on a shard that the store has not answered yet. */
 export interface PendingClaim {
   readonly claimId: number
   readonly sentAt: Ms
 }
 
-/** Learns of this instance's shards. */
+/** Receives the changes in which shards this instance owns. */
 export interface OwnershipListener {
   ownershipGained (failureDomain: FailureDomain, token: FencingToken): void
-  /** Another instance owns the shard now, or will. */
+  /**
+   * This instance no longer owns the shard.
+   * @param successor - the instance that owns it now or is about to, if known
+   */
   ownershipLost (failureDomain: FailureDomain, successor: InstanceId | undefined): void
 }
--- a/packages/core/src/sessions/sessionsDb.ts
+++ b/packages/core/src/sessions/sessionsDb.ts
@@ -1,5 +1,7 @@
 /**
- * State of the session decision: peers and the shards they own.
+ * State of the session decision: the known peers, and for each shard its owner, fencing token and load. It merges what
+ * owners report about themselves with what they report about others. When a peer counts as live or lost is decided in
+ * `sessionsDecider.ts`.
  */
 import type { FailureDomain, InstanceId, Ms, OtherShard, OwnedShard, ShardLoad } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -7,12 +9,12 @@
 
 const NO_LOAD: ShardLoad = { waitMs: ms(0), busyShare: 0 }
 
-/** Peers and shards. */
+/** The known peers and shards. */
 export class SessionsDb {
   readonly peers = new Map<InstanceId, PeerSession>()
   readonly shards = new Map<FailureDomain, KnownShard>()
 
-  /** @returns the peer's session, made on first use; a new address replaces the old one */
+  /** Returns the peer's session and creates it on first use. A non-empty address replaces the known one. */
   peer (instance: InstanceId, address: string): PeerSession {
     const known = this.peers.get(instance)
     if (known !== undefined) {
@@ -23,20 +25,23 @@
       instance,
       address,
       incarnation: 0,
-      heardAt: undefined,
-      vouchedAt: undefined,
-      pingedSince: undefined,
+      lastReceivedAt: undefined,
+      reportedLiveAt: undefined,
+      firstUnansweredPingAt: undefined,
       lastPingAt: undefined,
-      loadToldAt: undefined,
-      relinked: false,
-      pingsUs: false,
+      loadSentAt: undefined,
+      connectionReplaced: false,
+      usesOwnedShard: false,
       lost: false
     }
     this.peers.set(instance, session)
     return session
   }
 
-  /** Notes who owns a shard; a lower token than the known one is ignored. @returns true when the owner is new */
+  /**
+   * Records the owner of a shard, unless its token is not higher than the known one.
+   * @returns true when the owner or the token changed
+   */
   learnOwner (shard: Pick<KnownShard, 'failureDomain' | 'owner' | 'token'>): boolean {
     const known = this.shards.get(shard.failureDomain)
     if (known !== undefined && known.token >= shard.token) return false
@@ -44,7 +49,7 @@
     return known?.owner !== shard.owner || known.token !== shard.token
   }
 
-  /** Takes what an instance says of the shards it owns; one that it no longer lists has no owner. */
+  /** Applies an instance's report of the shards it owns. A shard that it no longer lists is marked as disowned. */
   learnOwned (owner: InstanceId, owned: readonly OwnedShard[]): void {
     for (const { failureDomain, token, load } of owned) {
       this.learnOwner({ failureDomain, owner, token })
@@ -52,14 +57,17 @@
       if (shard?.owner === owner) Object.assign(shard, { load, disowned: false })
     }
     for (const shard of this.shards.values()) {
-      if (shard.owner === owner && !owned.some(o => o.failureDomain === shard.failureDomain)) shard.disowned = true
+      if (shard.owner === owner && !owned.some(entry => entry.failureDomain === shard.failureDomain)) shard.disowned = true
     }
   }
 
-  /** Takes what the owner of this instance's own domain says of other owners. What an owner says itself goes before it. */
+  /**
+   * Applies the report that the owner of this instance's own domain makes about other owners. What an owner reports about
+   * itself takes precedence: under the same token, a shard that it has disowned stays disowned.
+   */
   learnOthers (others: readonly OtherShard[], now: Ms): void {
     for (const { failureDomain, owner, address, token, load } of others) {
-      this.peer(owner, address).vouchedAt = now
+      this.peer(owner, address).reportedLiveAt = now
       this.learnOwner({ failureDomain, owner, token })
       const shard = this.shards.get(failureDomain)
       if (shard?.owner === owner) shard.load = load
--- a/packages/core/src/sessions/sessionsDecider.spec.ts
+++ b/packages/core/src/sessions/sessionsDecider.spec.ts
@@ -10,14 +10,14 @@
 const TICK_MS = 25
 const { pingMs, peerTimeoutMs } = SHARD_DEFAULTS
 
-interface Played {
+interface WatchResult {
   readonly pings: number
   readonly resets: number
   readonly lostAt: number | undefined
 }
 
-/** Lets time pass in ticks; the owner is heard whenever `hears` says so. */
-function play (forMs: number, hears: (at: number) => boolean): Played {
+/** Runs ticks for a span of time. A message from the owner arrives at each tick for which `isHeardAt` returns true. */
+function watchOwner (forMs: number, isHeardAt: (at: number) => boolean): WatchResult {
   const ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: 'd' as FailureDomain, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(0) }
   let lostAt: number | undefined
   const peerLost = (): void => {
@@ -28,27 +28,27 @@
   const targets = new Map<InstanceId, Ms>([[OWNER, pingMs]])
   for (let at = 0; at < forMs; at += TICK_MS) {
     ctx.now = ms(at)
-    if (hears(at)) sessions.heard(OWNER, 1, 'owner')
+    if (isHeardAt(at)) sessions.heard(OWNER, 1, 'owner')
     sessions.tick(targets, () => false)
   }
   const effects = ctx.out.take()
   return { pings: effects.filter(effect => effect.type === 'send').length, resets: effects.filter(effect => effect.type === 'resetLink').length, lostAt }
 }
 
-describe('sessions', () => {
-  it('do not ping an owner that is heard', () => {
-    expect(play(5000, at => at % 100 === 0)).to.deep.equal({ pings: 0, resets: 0, lostAt: undefined })
+describe('the session with an owner', () => {
+  it('sends no pings while messages arrive from the owner', () => {
+    expect(watchOwner(5000, at => at % 100 === 0)).to.deep.equal({ pings: 0, resets: 0, lostAt: undefined })
   })
 
-  it('ping a silent owner, replace the connection once, and give it up in time', () => {
-    const { pings, resets, lostAt } = play(peerTimeoutMs + 2 * TICK_MS, () => false)
+  it('pings a silent owner, replaces the connection once, and declares the owner lost at the peer timeout', () => {
+    const { pings, resets, lostAt } = watchOwner(peerTimeoutMs + 2 * TICK_MS, () => false)
     expect(pings).to.be.at.least(3)
     expect(resets).to.equal(1)
     expect(lostAt).to.be.within(peerTimeoutMs, peerTimeoutMs + TICK_MS)
   })
 
-  it('keep an owner that answers only pings', () => {
-    const { pings, resets, lostAt } = play(5000, at => at % pingMs === TICK_MS)
+  it('keeps an owner live that sends nothing but answers to pings', () => {
+    const { pings, resets, lostAt } = watchOwner(5000, at => at % pingMs === TICK_MS)
     expect(pings).to.be.at.most(5000 / pingMs)
     expect([resets, lostAt]).to.deep.equal([0, undefined])
   })
--- a/packages/core/src/sessions/sessionsDecider.ts
+++ b/packages/core/src/sessions/sessionsDecider.ts
@@ -1,45 +1,46 @@
 /**
- * Watches peers: fronts ping the owners they use, owners answer. A silent connection is replaced once; a peer that
- * stays silent, refuses connections or comes back as another life is lost, and whoever depends on it is told.
- * Owners of other domains are pinged only by owners and by fronts with jobs there; the owner of the own domain vouches
- * for them, so that pings do not grow with instances times domains.
+ * Decides which peers are live and which are lost. Fronts ping the owners they use, and owners answer. A silent
+ * connection is replaced once; a peer that stays silent, refuses connections or restarts with another incarnation is lost,
+ * and the listener is notified. Owners of other domains are pinged only by owners and by fronts with jobs there. The other
+ * instances rely on the reports of their own domain's owner, so the number of pings does not grow with instances times
+ * domains.
  */
 import type { FailureDomain, InstanceId, Ms, ShardMessage } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
 import { SessionsDb } from './sessionsDb.js'
 import type { PeerSession, SessionListener } from './types.js'
 
-/** Period of pings to an owner that is lost, to learn that it is back. */
-const LOST_PING_MS = 400
+/** Period of pings to a lost owner; they detect that it is back. */
+const LOST_PEER_PING_PERIOD_MS = 400
 
-/** How long an owner of another domain counts as live after the own domain's owner vouched for it; a few of its pings. */
-const VOUCHED_MS = 800
+/** How long an owner of another domain counts as live after a report by the own domain's owner; a few of its ping periods. */
+const REPORTED_LIVE_VALID_MS = 800
 
-/** Says which version of the desired state is in force here. */
-export type VersionOf = () => number
+/** Returns the version of the desired state that is in force at this instance. */
+export type GetDesiredVersion = () => number
 
-/** The session decision. */
+/** Sends messages to peers, pings them, and tracks whether they are live. */
 export class SessionsDecider {
   readonly db = new SessionsDb()
 
-  constructor (private readonly ctx: ShardContext, private readonly desiredVersion: VersionOf, private readonly listener: SessionListener) {}
+  constructor (private readonly ctx: ShardContext, private readonly desiredVersion: GetDesiredVersion, private readonly listener: SessionListener) {}
 
-  /** Sends a message to a peer whose address is known. */
+  /** Sends a message to a peer. Without a known address, the message is dropped. */
   tell (to: InstanceId, message: ShardMessage): void {
     const peer = this.db.peers.get(to)
     if (peer === undefined || peer.address === '') return
     this.ctx.out.push({ type: 'send', to, address: peer.address, message })
   }
 
-  /** Notes that something arrived from a peer. */
+  /** Records that a message arrived from a peer. A changed incarnation means that its previous process is lost. */
   heard (from: InstanceId, incarnation: number | undefined, address: string): void {
     const peer = this.db.peer(from, address)
-    const otherLife = incarnation !== undefined && peer.incarnation !== 0 && incarnation !== peer.incarnation
-    if (otherLife) this.lose(peer, 'otherLife')
+    const restarted = incarnation !== undefined && peer.incarnation !== 0 && incarnation !== peer.incarnation
+    if (restarted) this.markLost(peer, 'otherLife')
     if (incarnation !== undefined) peer.incarnation = incarnation
-    peer.heardAt = this.ctx.now
-    peer.pingedSince = undefined
-    peer.relinked = false
+    peer.lastReceivedAt = this.ctx.now
+    peer.firstUnansweredPingAt = undefined
+    peer.connectionReplaced = false
     if (peer.lost) {
       peer.lost = false
       this.ctx.out.log('peer.heard', { peer: from, incarnation: peer.incarnation })
@@ -47,55 +48,55 @@
     }
   }
 
-  /** A peer uses a shard that this instance owns; it is watched from now on. */
-  pinged (from: InstanceId): void {
+  /** A ping arrived: the peer uses a shard that this instance owns, so its silence matters from now on. */
+  pingReceived (from: InstanceId): void {
     const peer = this.db.peers.get(from)
-    if (peer !== undefined) peer.pingsUs = true
+    if (peer !== undefined) peer.usesOwnedShard = true
   }
 
-  /** A connection to a peer could not be made: the process is gone or cut off. */
+  /** A connection to a peer could not be established: its process is gone or cut off from the network. */
   unreachable (instance: InstanceId): void {
     const peer = this.db.peers.get(instance)
-    if (peer !== undefined) this.lose(peer, 'unreachable')
+    if (peer !== undefined) this.markLost(peer, 'unreachable')
   }
 
-  /** A connection broke; a ping shows at once whether the peer still lives. */
+  /** A connection broke. An immediate ping finds out whether the peer is still live. */
   linkDown (instance: InstanceId): void {
     const peer = this.db.peers.get(instance)
     if (peer !== undefined && peer.address !== '') this.ping(peer)
   }
 
   /**
-   * Pings the owners that this instance uses when they are silent; watches all peers that were heard.
-   * @param targets - owners with the silence after which each is pinged
-   * @param needs - whether the silence of any other peer matters here
+   * Pings silent owners that this instance uses, and checks the silence of these and of all other monitored peers.
+   * @param targets - owners to ping, with the silence after which each is pinged
+   * @param isMonitored - tells for any other peer whether its silence matters to this instance
    */
-  tick (targets: ReadonlyMap<InstanceId, Ms>, needs: (peer: PeerSession) => boolean): void {
+  tick (targets: ReadonlyMap<InstanceId, Ms>, isMonitored: (peer: PeerSession) => boolean): void {
     for (const peer of this.db.peers.values()) {
       const periodMs = targets.get(peer.instance)
       if (periodMs !== undefined && this.isPingDue(peer, periodMs)) this.ping(peer)
-      if (periodMs !== undefined || needs(peer)) {
-        this.watch(peer)
+      if (periodMs !== undefined || isMonitored(peer)) {
+        this.checkSilence(peer)
       } else {
-        peer.heardAt = undefined
-        peer.pingedSince = undefined
+        peer.lastReceivedAt = undefined
+        peer.firstUnansweredPingAt = undefined
       }
     }
   }
 
-  /** @returns true when the peer was heard lately */
+  /** A peer is live while messages arrive from it, or shortly after the own domain's owner reported it as live. */
   isLive (instance: InstanceId): boolean {
     const peer = this.db.peers.get(instance)
     if (peer === undefined || peer.lost) return false
-    return peer.heardAt !== undefined || this.ctx.now - (peer.vouchedAt ?? -Infinity) < VOUCHED_MS
+    return peer.lastReceivedAt !== undefined || this.ctx.now - (peer.reportedLiveAt ?? -Infinity) < REPORTED_LIVE_VALID_MS
   }
 
-  /** @returns true when messages to the peer were without an answer for too long, or its process refuses connections */
+  /** A peer is lost when it was silent for too long, refused connections or restarted, and has not sent a message since. */
   isLost (instance: InstanceId): boolean {
     return this.db.peers.get(instance)?.lost === true
   }
 
-  /** @returns live owner of a shard */
+  /** Returns the owner of a shard if it is live or this instance itself. */
   ownerOf (failureDomain: FailureDomain): InstanceId | undefined {
     const shard = this.db.shards.get(failureDomain)
     if (shard === undefined || shard.disowned) return undefined
@@ -104,39 +105,39 @@
 
   private isPingDue (peer: PeerSession, periodMs: Ms): boolean {
     const { now } = this.ctx
-    const pinged = peer.lastPingAt ?? -Infinity
-    if (peer.lost) return now - pinged >= LOST_PING_MS
-    return now - Math.max(pinged, peer.heardAt ?? -Infinity) >= periodMs
+    const lastPingAt = peer.lastPingAt ?? -Infinity
+    if (peer.lost) return now - lastPingAt >= LOST_PEER_PING_PERIOD_MS
+    return now - Math.max(lastPingAt, peer.lastReceivedAt ?? -Infinity) >= periodMs
   }
 
   private ping (peer: PeerSession): void {
     const { now, self } = this.ctx
     peer.lastPingAt = now
-    peer.pingedSince ??= now
+    peer.firstUnansweredPingAt ??= now
     this.tell(peer.instance, { type: 'ping', incarnation: self.incarnation, address: self.address, desiredVersion: this.desiredVersion() })
   }
 
-  private watch (peer: PeerSession): void {
+  private checkSilence (peer: PeerSession): void {
     const { now, cfg, out } = this.ctx
-    const since = peer.heardAt ?? peer.pingedSince
-    if (peer.lost || since === undefined) return
-    const silentMs = now - since
+    const silentSince = peer.lastReceivedAt ?? peer.firstUnansweredPingAt
+    if (peer.lost || silentSince === undefined) return
+    const silentMs = now - silentSince
     if (silentMs >= cfg.peerTimeoutMs) {
-      this.lose(peer, 'silent')
-    } else if (silentMs >= cfg.relinkMs && !peer.relinked) {
-      peer.relinked = true
+      this.markLost(peer, 'silent')
+    } else if (silentMs >= cfg.reconnectAfterMs && !peer.connectionReplaced) {
+      peer.connectionReplaced = true
       out.push({ type: 'resetLink', peer: peer.instance })
       this.ping(peer)
     }
   }
 
-  private lose (peer: PeerSession, why: string): void {
+  private markLost (peer: PeerSession, why: string): void {
     const { out, now } = this.ctx
     if (peer.lost) return
     peer.lost = true
-    peer.pingsUs = false
+    peer.usesOwnedShard = false
     out.count('shard.peers.lost')
-    out.log('peer.lost', { peer: peer.instance, why, silentMs: Math.round(now - (peer.heardAt ?? now)), incarnation: peer.incarnation }, 'warn')
+    out.log('peer.lost', { peer: peer.instance, why, silentMs: Math.round(now - (peer.lastReceivedAt ?? now)), incarnation: peer.incarnation }, 'warn')
     this.listener.peerLost(peer.instance, why)
   }
 }
--- a/packages/core/src/sessions/types.ts
+++ b/packages/core/src/sessions/types.ts
@@ -1,44 +1,45 @@
 /**
- * Types of the session decision: which peers are heard, in both directions.
+ * Types of the session decision, which tracks for each peer whether messages still arrive from it. The state of a peer
+ * covers both directions: pings that this instance sends and pings that the peer sends because it uses a shard here.
  */
 import type { FailureDomain, FencingToken, InstanceId, Ms, ShardLoad } from '@cranberryyard/protocol'
 
-/** Another instance as it is heard here. */
+/** What this instance knows about another instance and the connection to it. */
 export interface PeerSession {
   readonly instance: InstanceId
   address: string
-  /** Life that was heard last; 0 before the first message. */
+  /** Latest incarnation that a message carried; 0 before the first message. */
   incarnation: number
-  /** Latest message of any kind; undefined before the first. */
-  heardAt: Ms | undefined
-  /** Latest time at which the owner of this instance's own domain said that it hears the peer. */
-  vouchedAt: Ms | undefined
-  /** First ping since the peer was last heard. */
-  pingedSince: Ms | undefined
+  /** When the latest message of any kind arrived; undefined before the first and while the peer is not monitored. */
+  lastReceivedAt: Ms | undefined
+  /** When the owner of this instance's own domain last reported that it receives messages from the peer. */
+  reportedLiveAt: Ms | undefined
+  /** When the first ping since the peer's latest message was sent. */
+  firstUnansweredPingAt: Ms | undefined
   lastPingAt: Ms | undefined
-  /** When this instance last told the peer the load of its shards. */
-  loadToldAt: Ms | undefined
-  /** The connection was replaced since the peer was last heard. */
-  relinked: boolean
+  /** When this instance last sent the peer the load of its shards. */
+  loadSentAt: Ms | undefined
+  /** The connection was replaced since the peer's latest message. */
+  connectionReplaced: boolean
   /** The peer uses a shard that this instance owns. */
-  pingsUs: boolean
+  usesOwnedShard: boolean
   lost: boolean
 }
 
-/** A shard as its owner announced it. */
+/** A shard with its latest known owner. */
 export interface KnownShard {
   readonly failureDomain: FailureDomain
   owner: InstanceId
   token: FencingToken
-  /** The owner answers, but not as the owner. */
+  /** The instance named as owner still answers, but no longer lists the shard as its own. */
   disowned: boolean
   load: ShardLoad
 }
 
-/** Learns of peers. */
+/** Receives the changes of peers between live and lost. */
 export interface SessionListener {
-  /** The peer fell silent, refuses connections or came back as another life. */
+  /** The peer fell silent, refuses connections or restarted with another incarnation. */
   peerLost (instance: InstanceId, why: string): void
-  /** The peer is heard again or for the first time. */
+  /** A message arrived from a peer that was lost. */
   peerHeard (instance: InstanceId): void
 }
--- a/packages/core/src/shard/counters.ts
+++ b/packages/core/src/shard/counters.ts
@@ -1,4 +1,7 @@
-/** Counters of the shard decisions with their meaning; docs/METRICS.md is checked against this list. */
+/**
+ * Counters of the shard decisions with their help texts. They stand in one list because docs/METRICS.md is checked against
+ * it.
+ */
 export const SHARD_COUNTERS = {
   'shard.jobs.received': 'Jobs that callers sent to this instance.',
   'shard.jobs.completed': 'Jobs answered as completed.',
--- a/packages/core/src/shard/index.ts
+++ b/packages/core/src/shard/index.ts
@@ -1,5 +1,6 @@
 /**
- * Public surface of the shard decisions: an instance that answers callers and owns endpoints under fencing tokens.
+ * Public interface of the shard decisions, for the daemon and the benches: an instance that answers callers and owns
+ * endpoints under fencing tokens.
  */
 export { ShardInstance } from './shardInstance.js'
 export type { ShardInstanceOptions } from './shardInstance.js'
--- a/packages/core/src/shard/settings.ts
+++ b/packages/core/src/shard/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of an instance that owns or uses shards of endpoints, with defaults. All spans are milliseconds.
- * Bounds that the platform states (lease, stop, resend) are filled in at start.
+ * Settings of an instance that owns or uses shards of endpoints, with their defaults. All time spans are in milliseconds.
+ * Bounds that the platform specifies (lease, stop, resend) are filled in at start.
  */
 import type { Ms } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -10,61 +10,64 @@
 export interface ShardSettings {
   /** Silence after which a front pings the owner of its own failure domain. */
   readonly pingMs: Ms
-  /** The same for other owners, which a front uses only when its own domain has no room. */
+  /** The same for owners of other domains, which a front uses only when its own domain has no free capacity. */
   readonly remotePingMs: Ms
   /** Silence after which a connection to a peer is replaced. */
-  readonly relinkMs: Ms
-  /** Silence after which a peer counts as lost. A lost front's tasks must be gone before its callers send again. */
+  readonly reconnectAfterMs: Ms
+  /** Silence after which a peer counts as lost. The tasks of a lost front must have ended before its callers resubmit their jobs. */
   readonly peerTimeoutMs: Ms
-  /** An owner drops a job that its front has not confirmed for this long, well before callers send it again. */
+  /** An owner drops a job that its front has not confirmed for this long, which is well before callers resubmit it. */
   readonly jobLeaseMs: Ms
-  /** Period in which fronts confirm their jobs to owners. */
+  /** Period at which fronts confirm their jobs to owners. */
   readonly confirmMs: Ms
-  /** Pause before an instance that lost a shard claims it again; two that cannot hear each other would take turns. */
+  /**
+   * Pause before an instance that lost a shard claims it again. Without it, two instances that cannot reach each other
+   * would take the shard from each other in turns.
+   */
   readonly reclaimMs: Ms
-  /** Added for each successor before this one, so that they do not all claim at once. */
+  /** Delay of a claim for each successor ranked before this one, so that successors do not all claim at once. */
   readonly successionMs: Ms
-  /** Longest wait for the store's answer to a claim before a successor takes over by its rank. */
+  /** Time-out for the store's answer to a claim, after which a successor takes over by its rank. */
   readonly claimTimeoutMs: Ms
-  /** Longest lease an endpoint grants (platform's bound). */
+  /** Longest lease that an endpoint grants (bound of the platform). */
   readonly leaseMs: Ms
-  /** Share by which an endpoint's clock may be slow (platform's bound). */
+  /** Largest fraction by which an endpoint's clock may run slow (bound of the platform). */
   readonly clockDrift: number
-  /** Time after which a start must be refused by the endpoint; short, since its room stays taken until then. */
+  /** Validity of a start order; an endpoint refuses it afterwards. Short, because its capacity stays reserved until then. */
   readonly startValidMs: Ms
-  /** Longest wait for the answer to a start or stop; several round trips. */
+  /** Time-out for the answer to a start or stop order; several round trips. */
   readonly orderTimeoutMs: Ms
-  /** How long a hold waits at an endpoint with work for an end; also the period of progress figures. */
+  /** How long a hold request waits at a busy endpoint for a run to end; also the period at which progress is reported. */
   readonly holdWaitMs: Ms
-  /** Period of looks at an endpoint without work. */
+  /** Period at which an endpoint without runs is probed. */
   readonly idleLookMs: Ms
-  /** Period of looks at an endpoint that does not answer. */
+  /** Period at which an endpoint that does not answer is probed. */
   readonly silentLookMs: Ms
-  /** Slack of the scheduler and the network added to lease horizons. */
+  /** Slack added to the end of leases for delays of the process scheduler and the network. */
   readonly leaseSlackMs: Ms
   /** Runs found after a takeover that no front claims within this span are stopped. */
   readonly claimGraceMs: Ms
-  /** Longest time until an owner that was superseded gives no more orders: one hold and its answer. */
+  /** Longest time until a superseded owner has stopped sending orders: one hold and its answer. */
   readonly supersededMs: Ms
-  /** How long a front waits for a new owner before it gives its jobs up. */
+  /** How long a front waits for a new owner before it gives up its jobs. */
   readonly ownerWaitMs: Ms
-  /** An event loop that stood still for longer drops its sessions: others have acted meanwhile. */
+  /** An event loop that was blocked for longer drops its jobs, because other instances may have acted in the meantime. */
   readonly pauseMs: Ms
-  /** From the request to stop to the end of this process (platform's grace, less the time to close). */
+  /** Time from the request to stop until this process ends (grace period of the platform, less the time to close). */
   readonly leaveMs: Ms
-  /** A leaving instance takes jobs on connections that are still open this long; later ones are refused. */
+  /** How long a leaving instance still accepts jobs on connections that are open; it refuses later ones. */
   readonly leaveTakeMs: Ms
-  /** Factor of the objective up to which a late answer is of use (platform's bound). */
+  /** Multiple of the latency objective up to which a late answer is still useful (bound of the platform). */
   readonly usefulFactor: number
-  /** Entries of endpoints that are missing in the store's list are kept this long after the store came back. */
+  /** How long endpoints that are missing from the store's list are kept; the span starts anew when the store is back. */
   readonly missingMs: Ms
 }
 
-/** Defaults for a platform that states nothing else. */
+/** Defaults for a platform that specifies no other bounds. */
 export const SHARD_DEFAULTS: ShardSettings = {
   pingMs: ms(200),
   remotePingMs: ms(250),
-  relinkMs: ms(400),
+  reconnectAfterMs: ms(400),
   peerTimeoutMs: ms(600),
   jobLeaseMs: ms(700),
   confirmMs: ms(200),
@@ -90,9 +93,9 @@
 }
 
 /**
- * Periods of reading the list of endpoints: an owner has to notice a draining endpoint in time; the others only prepare
- * for a takeover and may read what is a little old.
+ * Periods in milliseconds for reading the list of endpoints. An owner has to notice a draining endpoint in time; the other
+ * instances only prepare for a takeover and may use a list that is slightly out of date.
  */
 export const ENDPOINTS_MS: Readonly<Record<ListPace, number>> = { owner: 800, near: 3000, far: 12_000 }
-/** Periods of reading registrations and shard records; owners make themselves known besides. */
+/** Periods in milliseconds for reading member and shard records. They can be long, since owners also announce themselves. */
 export const RECORDS_MS: Readonly<Record<ListPace, number>> = { owner: 1500, near: 1500, far: 5000 }
--- a/packages/core/src/shard/shardInstance.ts
+++ b/packages/core/src/shard/shardInstance.ts
@@ -1,6 +1,7 @@
 /**
- * One instance that answers callers and, where it owns a shard, gives orders to endpoints. This module wires the
- * decisions together; inputs go in, effects come out. No I/O, no timers, no clock of its own.
+ * One instance that answers callers and, while it owns a shard, sends orders to endpoints. This module wires the decisions
+ * together and routes each input to them. It returns effects instead of performing I/O, and it has no timers and no clock
+ * of its own, so the daemon and the tests can drive it alike.
  */
 import type { EndpointId, EndpointReport, FailureDomain, InstanceId, JobId, Ms, OtherShard, OwnedShard, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -17,16 +18,16 @@
 import { ShardOutbox } from './types.js'
 import type { ListPace, ShardContext, ShardEffect, ShardInput, ShardSelf } from './types.js'
 
-/** Least time between two registrations; the list may be read a few seconds old. */
-const REGISTER_PAUSE_MS = 5000
+/** Minimum time between two registrations; the list of members that shows the last one may be a few seconds old. */
+const MIN_REGISTRATION_INTERVAL_MS = 5000
 
-/** What an instance is made from. */
+/** Identity and settings of an instance. */
 export interface ShardInstanceOptions {
   readonly self: ShardSelf
   readonly cfg: ShardSettings
 }
 
-/** The decisions of one instance. */
+/** Holds the decisions of one instance and passes inputs to them. */
 export class ShardInstance {
   readonly ctx: ShardContext
   readonly sessions: SessionsDecider
@@ -36,9 +37,9 @@
   readonly execution: ExecutionDecider
   readonly endpoints: EndpointsDecider
   readonly intake: IntakeDecider
-  private readonly list: EndpointList
-  private lastAt: Ms | undefined
-  private lastWall: Ms | undefined
+  private readonly endpointList: EndpointList
+  private lastInputAt: Ms | undefined
+  private lastInputWallTime: Ms | undefined
   private ready = false
   private leaving = false
   private drained = false
@@ -60,13 +61,13 @@
     })
     this.placement = new PlacementDecider(ctx)
     this.execution = new ExecutionDecider(ctx, this.placement, {
-      tell: (front, message) => this.tellFront(front.instance, message),
+      tell: (front, message) => this.sendToFront(front.instance, message),
       superseded: failureDomain => this.ownership.superseded(failureDomain),
       earlierRunsKnown: failureDomain => this.earlierRunsKnown(failureDomain)
     })
     this.endpoints = new EndpointsDecider(ctx, failureDomain => this.ownership.db.owned.get(failureDomain)?.token, this.execution)
     this.execution.endpoints = this.endpoints
-    this.list = new EndpointList(ctx, id => this.endpointGone(id))
+    this.endpointList = new EndpointList(ctx, id => this.endpointGone(id))
     this.intake = new IntakeDecider(ctx, this.desired, this.sessions, (to, message) => this.deliver(to, message))
   }
 
@@ -75,18 +76,18 @@
    * @param input - what happened
    * @param now - monotonic time
    * @param wall - wall-clock time
-   * @returns what the shell is to do, in order
+   * @returns the effects that the shell has to perform, in order
    */
   handle (input: ShardInput, now: Ms, wall: Ms): ShardEffect[] {
     this.ctx.now = now
-    this.noticePause(now, wall)
+    this.detectPause(now, wall)
     this.dispatch(input)
     this.execution.pump()
     this.updateState()
     return this.ctx.out.take()
   }
 
-  /** Registers this instance and starts to look around. */
+  /** Registers this instance in the store. */
   start (now: Ms): ShardEffect[] {
     const { self, out } = this.ctx
     this.ctx.now = now
@@ -95,12 +96,12 @@
     return out.take()
   }
 
-  /** @returns true when nothing here waits for the next tick but pings and succession, which have longer periods */
+  /** An idle instance needs ticks only for pings and succession, which have longer periods. */
   isIdle (): boolean {
     return !this.ownership.owns() && this.intake.db.jobs.size === 0
   }
 
-  /** @returns true when the desired state has a queue for the path */
+  /** Tells whether the desired state has a queue for the path. */
   hasQueue (host: string, path: string): boolean {
     return this.desired.db.queueFor(host, path) !== undefined
   }
@@ -117,9 +118,9 @@
       case 'taskStartOutcome': return this.endpoints.startOutcome(input.endpoint, input.orderId, input.outcome)
       case 'taskStopOutcome': return this.endpoints.stopOutcome(input.endpoint, input.orderId, input.outcome)
       case 'desired': return this.desired.take(input.state, 'store')
-      case 'endpoints': return this.takeReports(input.reports, input.fresh)
-      case 'records': return this.takeRecords(input)
-      case 'storeReachable': return this.noteStore(input.reachable)
+      case 'endpoints': return this.applyReports(input.reports, input.fresh)
+      case 'records': return this.applyRecords(input)
+      case 'storeReachable': return this.setStoreReachable(input.reachable)
       case 'claimOutcome': return this.ownership.claimOutcome(input.claimId, input.result)
       case 'leave': return this.leave()
     }
@@ -127,35 +128,35 @@
 
   private receive (from: InstanceId, message: ShardMessage): void {
     if (from !== this.ctx.self.instance) {
-      const life = 'incarnation' in message ? message.incarnation : undefined
-      this.sessions.heard(from, life, 'address' in message ? message.address : '')
+      const incarnation = 'incarnation' in message ? message.incarnation : undefined
+      this.sessions.heard(from, incarnation, 'address' in message ? message.address : '')
     }
     switch (message.type) {
-      case 'ping': return this.pinged(from, message.incarnation, message.desiredVersion)
+      case 'ping': return this.receivePing(from, message.incarnation, message.desiredVersion)
       case 'pong':
         this.sessions.db.learnOwned(from, message.owned)
         this.desired.heard(from, message.desiredVersion)
-        if (this.ownsHere(from)) this.sessions.db.learnOthers(message.others, this.ctx.now)
+        if (this.ownsLocalDomain(from)) this.sessions.db.learnOthers(message.others, this.ctx.now)
         for (const { failureDomain } of [...message.owned, ...message.others]) this.intake.ownerKnown(failureDomain)
         return
       case 'announce':
         this.sessions.db.learnOwner({ failureDomain: message.failureDomain, owner: from, token: message.token })
-        this.ownership.announced(message.failureDomain, from, message.token)
+        this.ownership.ownerAnnounced(message.failureDomain, from, message.token)
         return this.intake.ownerKnown(message.failureDomain)
       case 'submit': return this.receiveSubmit({ instance: from, incarnation: message.incarnation, address: message.address }, message)
-      case 'checkJobs': return this.receiveCheck(from, message.failureDomain, message.jobIds)
+      case 'checkJobs': return this.receiveJobCheck(from, message.failureDomain, message.jobIds)
       case 'cancelJob': return this.execution.cancel(message.jobId, from)
       case 'ended': return this.intake.ended(message.jobId, message.outcome)
       case 'declined': return this.intake.declined(message.jobId, from, message.attempt, message.retryAfterMs)
       case 'notOwner': return this.intake.unknownAt(message.jobId, from, message.failureDomain)
       case 'moved': return this.intake.moved(from, message.failureDomain, message.progress)
-      case 'handover': return this.ownership.handedOver(message.failureDomain, message.revision, message.rank)
-      case 'desiredRequest': return this.desired.asked(from)
+      case 'handover': return this.ownership.handoverReceived(message.failureDomain, message.revision, message.rank)
+      case 'desiredRequest': return this.desired.stateRequested(from)
       case 'desired': return this.desired.take(message.state, from)
     }
   }
 
-  /** Messages to this instance itself take the same way as those to others, without a connection. */
+  /** Delivers a message to a peer or, without a connection, to this instance itself, which handles it like any other. */
   private deliver (to: InstanceId, message: ShardMessage): void {
     if (to !== this.ctx.self.instance) this.sessions.tell(to, message)
     else this.receive(to, message)
@@ -163,7 +164,7 @@
 
   private tick (): void {
     const fronts = this.execution.fronts()
-    this.sessions.tick(this.pingTargets(), peer => fronts.has(peer.instance) || (peer.pingsUs && this.pingsOn(peer.instance)))
+    this.sessions.tick(this.pingTargets(), peer => fronts.has(peer.instance) || (peer.usesOwnedShard && this.expectsPingsFrom(peer.instance)))
     this.desired.tick()
     this.ownership.tick()
     this.endpoints.tick()
@@ -171,64 +172,67 @@
     this.intake.tick()
   }
 
-  /** Owners that this instance pings itself, with the silence after which it does. */
+  /** Returns the owners that this instance pings itself, with the silence after which it pings each. */
   private pingTargets (): Map<InstanceId, Ms> {
     const { self, cfg } = this.ctx
     const { sessions } = this
-    const used = this.intake.db.owners()
-    const pingsAll = this.ownership.owns() || sessions.ownerOf(self.failureDomain) === undefined
+    const ownersInUse = this.intake.db.owners()
+    const pingsAllOwners = this.ownership.owns() || sessions.ownerOf(self.failureDomain) === undefined
     const targets = new Map<InstanceId, Ms>()
     for (const { failureDomain, owner } of sessions.db.shards.values()) {
       if (failureDomain === self.failureDomain) targets.set(owner, cfg.pingMs)
-      else if (!targets.has(owner) && (pingsAll || used.has(owner) || sessions.isLost(owner))) targets.set(owner, cfg.remotePingMs)
+      else if (!targets.has(owner) && (pingsAllOwners || ownersInUse.has(owner) || sessions.isLost(owner))) targets.set(owner, cfg.remotePingMs)
     }
     targets.delete(self.instance)
     return targets
   }
 
-  /** Fronts of the own domain ping its owner as long as both live; whoever owned it before is pinged no more. */
-  private pingsOn (instance: InstanceId): boolean {
+  /**
+   * Tells whether pings from the instance must keep arriving. Fronts of the own domain ping its owner as long as both are
+   * live, but they stop pinging an instance that no longer owns the shard.
+   */
+  private expectsPingsFrom (instance: InstanceId): boolean {
     return this.ownership.owns() && this.ownership.db.members.get(instance)?.failureDomain === this.ctx.self.failureDomain
   }
 
-  /** @returns true when the instance owns this instance's own domain */
-  private ownsHere (instance: InstanceId): boolean {
+  /** Tells whether the given instance owns the shard of this instance's own domain. */
+  private ownsLocalDomain (instance: InstanceId): boolean {
     return this.sessions.db.shards.get(this.ctx.self.failureDomain)?.owner === instance
   }
 
-  /** What an owner tells a front brings its load along, so that fronts with jobs need no pings. */
-  private tellFront (front: InstanceId, message: ShardMessage): void {
+  /** Sends a message to a front and, once per ping period, the load as well, so that fronts with jobs need not ping. */
+  private sendToFront (front: InstanceId, message: ShardMessage): void {
     this.deliver(front, message)
     const peer = this.sessions.db.peers.get(front)
     if (peer === undefined || front === this.ctx.self.instance || !this.ownership.owns()) return
-    if (this.ctx.now - (peer.loadToldAt ?? -Infinity) >= this.ctx.cfg.pingMs) this.tellLoad(front)
+    if (this.ctx.now - (peer.loadSentAt ?? -Infinity) >= this.ctx.cfg.pingMs) this.sendLoad(front)
   }
 
-  private tellLoad (to: InstanceId): void {
+  private sendLoad (to: InstanceId): void {
     const { self, now } = this.ctx
     const peer = this.sessions.db.peers.get(to)
-    if (peer !== undefined) peer.loadToldAt = now
+    if (peer !== undefined) peer.loadSentAt = now
     const owned: OwnedShard[] = [...this.ownership.db.owned.values()].map(({ failureDomain, token }) => ({ failureDomain, token, load: this.load() }))
     this.sessions.tell(to, { type: 'pong', incarnation: self.incarnation, owned, others: this.otherShards(), desiredVersion: this.desired.db.version() })
   }
 
-  /** Shards of other domains whose owners this owner hears itself. */
+  /** Returns the shards of other domains whose owners send messages to this owner directly. */
   private otherShards (): OtherShard[] {
     const { db } = this.sessions
     const others: OtherShard[] = []
     for (const { failureDomain, owner, token, load, disowned } of db.shards.values()) {
       const peer = db.peers.get(owner)
-      if (disowned || peer === undefined || peer.lost || peer.heardAt === undefined || this.ownership.db.owned.has(failureDomain)) continue
+      if (disowned || peer === undefined || peer.lost || peer.lastReceivedAt === undefined || this.ownership.db.owned.has(failureDomain)) continue
       others.push({ failureDomain, owner, address: peer.address, token, load })
     }
     return others
   }
 
-  private pinged (from: InstanceId, incarnation: number, desiredVersion: number): void {
-    this.sessions.pinged(from)
+  private receivePing (from: InstanceId, incarnation: number, desiredVersion: number): void {
+    this.sessions.pingReceived(from)
     this.execution.frontLost(from, incarnation)
     this.desired.heard(from, desiredVersion)
-    this.tellLoad(from)
+    this.sendLoad(from)
   }
 
   private load (): OwnedShard['load'] {
@@ -247,22 +251,22 @@
   }
 
   /**
-   * Runs of an earlier owner are all known once every endpoint was looked at, or gone once their leases have run out.
-   * Before the list is known in full, and while it was not read since the takeover, an earlier owner may have been at
-   * work on endpoints that this one does not know, where nothing fences it.
+   * Tells whether this owner knows all runs that earlier owners started. They are known once every endpoint has been
+   * probed, and have ended once their leases have expired. Until the list is complete and has been read since the takeover,
+   * an earlier owner may have used endpoints that this one does not know and on which no token fences it.
    */
   private earlierRunsKnown (failureDomain: FailureDomain): boolean {
     const { now, cfg } = this.ctx
     const owned = this.ownership.db.owned.get(failureDomain)
-    const { knownInFullSince, freshAt } = this.list
+    const { knownInFullSince, freshAt } = this.endpointList
     if (owned === undefined || knownInFullSince === undefined) return false
     const since = Math.max(owned.since, knownInFullSince)
     if (now - since > cfg.supersededMs + cfg.leaseMs * (1 + cfg.clockDrift) + cfg.leaseSlackMs) return true
     if (freshAt === undefined || freshAt < owned.since) return false
-    return this.list.of(failureDomain).every(report => this.endpoints.db.get(report.id)?.looked === true)
+    return this.endpointList.of(failureDomain).every(report => this.endpoints.db.get(report.id)?.looked === true)
   }
 
-  private receiveCheck (from: InstanceId, failureDomain: FailureDomain, jobIds: readonly JobId[]): void {
+  private receiveJobCheck (from: InstanceId, failureDomain: FailureDomain, jobIds: readonly JobId[]): void {
     const peer = this.sessions.db.peers.get(from)
     const front = { instance: from, incarnation: peer?.incarnation ?? this.ctx.self.incarnation, address: peer?.address ?? '' }
     this.execution.check(front, failureDomain, jobIds)
@@ -285,22 +289,22 @@
   }
 
   private ownershipGained (failureDomain: FailureDomain): void {
-    this.endpoints.adopt(this.list.of(failureDomain))
+    this.endpoints.adopt(this.endpointList.of(failureDomain))
     this.intake.ownerKnown(failureDomain)
   }
 
   private ownershipLost (failureDomain: FailureDomain, successor: InstanceId | undefined): void {
     const shard = this.sessions.db.shards.get(failureDomain)
     if (shard?.owner === this.ctx.self.instance) shard.disowned = true
-    const byFront = this.execution.release(failureDomain)
+    const progressByFront = this.execution.release(failureDomain)
     this.endpoints.release(failureDomain)
-    for (const [front, progress] of byFront) {
+    for (const [front, progress] of progressByFront) {
       this.deliver(front.instance, { type: 'moved', failureDomain, to: successor ?? this.ctx.self.instance, progress })
     }
   }
 
-  private takeReports (reports: readonly EndpointReport[], fresh: boolean): void {
-    this.list.take(reports, fresh)
+  private applyReports (reports: readonly EndpointReport[], fresh: boolean): void {
+    this.endpointList.take(reports, fresh)
     this.endpoints.update(reports.filter(report => this.ownership.db.owned.has(report.failureDomain)))
   }
 
@@ -309,21 +313,21 @@
     this.placement.db.forget(id)
   }
 
-  private takeRecords (input: Extract<ShardInput, { type: 'records' }>): void {
+  private applyRecords (input: Extract<ShardInput, { type: 'records' }>): void {
     const { self, out } = this.ctx
     this.ownership.recordsRead(input.members, input.shards)
     if (this.leaving || this.ownership.db.members.get(self.instance)?.incarnation === self.incarnation) return
-    if (this.ctx.now - this.registeredAt < REGISTER_PAUSE_MS) return
+    if (this.ctx.now - this.registeredAt < MIN_REGISTRATION_INTERVAL_MS) return
     this.registeredAt = this.ctx.now
     out.push({ type: 'writeMember', record: { ...self } })
   }
 
-  private noteStore (reachable: boolean): void {
+  private setStoreReachable (reachable: boolean): void {
     if (reachable === this.storeReachable) return
     this.storeReachable = reachable
     this.ctx.out.log(reachable ? 'store.regained' : 'store.lost', {}, reachable ? 'info' : 'warn')
     if (!reachable) return
-    this.list.storeRegained()
+    this.endpointList.storeRegained()
   }
 
   private leave (): void {
@@ -332,16 +336,19 @@
     this.ownership.leave()
   }
 
-  /** A process that stood still cannot know what others did meanwhile; it starts over with what it has. */
-  private noticePause (now: Ms, wall: Ms): void {
+  /**
+   * Detects that the process was paused. It cannot know what other instances did in the meantime, so it gives up all jobs
+   * and probes its endpoints again.
+   */
+  private detectPause (now: Ms, wall: Ms): void {
     const { cfg, out } = this.ctx
-    const steady = now - (this.lastAt ?? now)
-    const passed = Math.max(steady, wall - (this.lastWall ?? wall))
-    this.lastAt = now
-    this.lastWall = wall
-    if (passed < cfg.pauseMs) return
+    const steadyMs = now - (this.lastInputAt ?? now)
+    const elapsedMs = Math.max(steadyMs, wall - (this.lastInputWallTime ?? wall))
+    this.lastInputAt = now
+    this.lastInputWallTime = wall
+    if (elapsedMs < cfg.pauseMs) return
     out.count('shard.pauses')
-    out.log('process.paused', { pausedMs: Math.round(passed), steadyMs: Math.round(steady), frontedJobs: this.intake.db.jobs.size, ownedJobs: this.execution.db.jobs.size }, 'warn')
+    out.log('process.paused', { pausedMs: Math.round(elapsedMs), steadyMs: Math.round(steadyMs), frontedJobs: this.intake.db.jobs.size, ownedJobs: this.execution.db.jobs.size }, 'warn')
     this.intake.loseAll()
     this.execution.dropAll()
     this.endpoints.lookAgain()
@@ -357,7 +364,7 @@
 
   private updateState (): void {
     this.updateListPace()
-    const ready = !this.leaving && this.desired.db.state !== undefined && this.hasOwner()
+    const ready = !this.leaving && this.desired.db.state !== undefined && this.hasLiveOwner()
     if (ready !== this.ready) {
       this.ready = ready
       this.ctx.out.push({ type: 'state', name: ready ? 'ready' : 'notReady' })
@@ -369,7 +376,7 @@
     }
   }
 
-  private hasOwner (): boolean {
+  private hasLiveOwner (): boolean {
     for (const failureDomain of this.sessions.db.shards.keys()) {
       if (this.sessions.ownerOf(failureDomain) !== undefined) return true
     }
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -1,5 +1,6 @@
 /**
- * Inputs and effects of an instance that owns or uses shards of endpoints, and the context its decisions share.
+ * Inputs and effects of an instance that owns or uses shards of endpoints, and the context that its decisions share. They
+ * are the whole interface between the decisions and the shell around them, which does the I/O.
  */
 import type {
   DesiredState,
@@ -23,7 +24,7 @@
 import type { ShardCounterName } from './counters.js'
 import type { ShardSettings } from './settings.js'
 
-/** Who this instance is. */
+/** This instance as it registers in the store. */
 export type ShardSelf = MemberRecord
 
 /** How a conditional write to the store ended; `unknown` means that it may still take effect. */
@@ -44,27 +45,27 @@
   | { readonly type: 'taskStartOutcome', readonly endpoint: EndpointId, readonly orderId: number, readonly outcome: TaskStartOutcome }
   | { readonly type: 'taskStopOutcome', readonly endpoint: EndpointId, readonly orderId: number, readonly outcome: TaskStopOutcome }
   | { readonly type: 'desired', readonly state: DesiredState }
-  /** `fresh`: the reading began after this instance had become an owner, and not from a copy that may be old. */
+  /** `fresh`: the read began after this instance had become an owner, and was not served from a copy that may be stale. */
   | { readonly type: 'endpoints', readonly reports: readonly EndpointReport[], readonly fresh: boolean }
   | { readonly type: 'records', readonly members: readonly Revised<MemberRecord>[], readonly shards: readonly Revised<ShardRecord>[] }
   | { readonly type: 'storeReachable', readonly reachable: boolean }
   | { readonly type: 'claimOutcome', readonly claimId: number, readonly result: ClaimResult }
   | { readonly type: 'leave' }
 
-/** Why a job was not taken; nothing of it has run or will run. */
+/** Why a job was refused. No part of it has run or will run. */
 export type RefusalCause = 'noDesiredState' | 'noQueue' | 'unsupported' | 'noOwner' | 'overloaded' | 'cannotFit' | 'leaving'
 
-/** What a caller gets. */
+/** Answer to a caller. */
 export type CallerReply =
   | { readonly type: 'ended', readonly outcome: JobOutcome }
-  /** Not run; worth sending again after the given time. */
+  /** The job has not run; the caller may send it again after the given time. */
   | { readonly type: 'refused', readonly cause: RefusalCause, readonly retryAfterMs: Ms }
   /** The job may have run; the caller may send it again. */
   | { readonly type: 'lost' }
 
 /**
- * How fresh an instance needs the store's lists. `owner`: acts on them; `near`: may have to act soon, or looks for an
- * owner; `far`: only keeps them for the day when all others are gone.
+ * How fresh the store's lists have to be for an instance. `owner`: it acts on them. `near`: it may have to take over soon,
+ * or its domain has no known owner. `far`: it needs them only if all instances ranked before it are lost.
  */
 export type ListPace = 'owner' | 'near' | 'far'
 
@@ -79,15 +80,15 @@
   | { readonly type: 'stopTask', readonly endpoint: EndpointId, readonly address: string, readonly orderId: number, readonly token: FencingToken, readonly task: TaskName, readonly run: number, readonly timeoutMs: Ms }
   | { readonly type: 'writeMember', readonly record: MemberRecord }
   | { readonly type: 'claimShard', readonly claimId: number, readonly expectedRevision: number, readonly record: ShardRecord }
-  /** Read the records again now. */
+  /** Read the member and shard records again at once. */
   | { readonly type: 'refreshRecords' }
-  /** How fresh the lists in the store have to be from now on. */
+  /** Change how often the store's lists are read. */
   | { readonly type: 'listPace', readonly pace: ListPace }
   | { readonly type: 'state', readonly name: 'ready' | 'notReady' | 'drained' }
   | { readonly type: 'log', readonly level: 'info' | 'warn', readonly event: string, readonly fields: LogFields }
   | { readonly type: 'observe', readonly histogram: 'jobMs' | 'queueWaitMs' | 'takeoverMs', readonly label: string, readonly valueMs: number }
 
-/** Collects the effects of one input. */
+/** Collects the effects of one input, and the counters. */
 export class ShardOutbox {
   private effects: ShardEffect[] = []
   readonly counters = new Map<ShardCounterName, number>()
@@ -97,14 +98,14 @@
     this.effects.push(effect)
   }
 
-  /** @returns all effects since the last call */
+  /** Returns the effects pushed since the last call and removes them. */
   take (): ShardEffect[] {
     const taken = this.effects
     this.effects = []
     return taken
   }
 
-  /** Logs one change of belief or one decision about a job. */
+  /** Logs one change in what this instance knows, or one decision about a job. */
   log (event: string, fields: LogFields, level: 'info' | 'warn' = 'info'): void {
     this.push({ type: 'log', level, event, fields })
   }
@@ -115,7 +116,7 @@
   }
 }
 
-/** Given to every decision. `now` is the time of the input at hand. */
+/** Context shared by all decisions. `now` is the monotonic time of the current input. */
 export interface ShardContext {
   readonly self: ShardSelf
   readonly cfg: ShardSettings
--- a/packages/core/src/utils/chart.ts
+++ b/packages/core/src/utils/chart.ts
@@ -1,17 +1,16 @@
 /**
- * Interprets the state charts under charts/. The same files are drawn in the docs.
+ * Interprets the state charts in the folder `charts/`. The charts are JSON files rather than code, because the docs draw
+ * their diagrams from the same files.
  */
 import { readFileSync } from 'node:fs'
 import { createMachine, getInitialSnapshot, getNextSnapshot } from 'xstate'
 import type { AnyMachineSnapshot, AnyStateMachine } from 'xstate'
 
-/** Names of the charts. */
 export const CHART_NAMES = ['endpointOrder', 'endpointHealth', 'job', 'instance'] as const
 
-/** Name of a chart. */
 export type ChartName = typeof CHART_NAMES[number]
 
-/** A chart as its file describes it. */
+/** Content of a chart's file. */
 export interface ChartFile {
   readonly id: string
   readonly initial: string
@@ -19,18 +18,16 @@
 }
 
 /**
- * Reads a chart's file.
- * @param name - a chart
- * @returns its description
+ * Reads and parses a chart's file.
  */
 export function readChart (name: ChartName): ChartFile {
   return JSON.parse(readFileSync(new URL(`../charts/${name}.json`, import.meta.url), 'utf8')) as ChartFile
 }
 
-/** A chart ready to be followed. */
+/** A state machine built from a chart. It caches the result of each transition, since charts never change at run time. */
 export class Chart<S extends string, E extends string> {
   private readonly machine: AnyStateMachine
-  private readonly steps = new Map<string, S | undefined>()
+  private readonly transitions = new Map<string, S | undefined>()
   readonly initial: S
 
   constructor (name: ChartName) {
@@ -39,18 +36,16 @@
   }
 
   /**
-   * Follows one event.
-   * @param state - the present state
-   * @param event - what happened
-   * @returns the next state, or undefined when the chart does not allow the event here
+   * Computes the state that follows an event.
+   * @returns the next state, or undefined when the chart does not allow the event in this state
    */
   next (state: S, event: E): S | undefined {
     const key = `${state} ${event}`
-    if (!this.steps.has(key)) this.steps.set(key, this.resolve(state, event))
-    return this.steps.get(key)
+    if (!this.transitions.has(key)) this.transitions.set(key, this.computeNext(state, event))
+    return this.transitions.get(key)
   }
 
-  private resolve (state: S, event: E): S | undefined {
+  private computeNext (state: S, event: E): S | undefined {
     const snapshot = this.machine.resolveState({ value: state, context: {} }) as AnyMachineSnapshot
     if (!snapshot.can({ type: event })) return undefined
     return getNextSnapshot(this.machine, snapshot, { type: event }).value as S
--- a/packages/core/src/utils/random.ts
+++ b/packages/core/src/utils/random.ts
@@ -1,5 +1,6 @@
 /**
- * Seeded random numbers, so that the same seed and inputs give the same decisions.
+ * Seeded random numbers and sampling. Decisions draw from a seeded source, so the same seed and inputs give the same
+ * decisions.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -11,9 +12,8 @@
 }
 
 /**
- * Makes a seeded source.
- * @param seed - any integer
- * @returns the source
+ * Creates a source of random integers.
+ * @param seed - any integer; the same seed gives the same sequence
  */
 export function seededRandom (seed: number): Random {
   const rng = xoroshiro128plus(seed)
@@ -21,11 +21,7 @@
 }
 
 /**
- * Draws up to `count` different items.
- * @param random - the source
- * @param items - what to draw from
- * @param count - how many at most
- * @returns the drawn items
+ * Draws up to `count` items without replacement.
  */
 export function sample<T> (random: Random, items: readonly T[], count: number): T[] {
   const pool = [...items]
