--- a/packages/core/src/limits/limitsDb.ts
+++ b/packages/core/src/limits/limitsDb.ts
@@ -1,12 +1,13 @@
 /**
- * Counts of permits: this instance's shares under each version that may still be in force somewhere,
- * permits lent and borrowed, and tasks running.
+ * Bookkeeping of permits: this instance's shares under each fleet version that may still be in force somewhere,
+ * the permits it lent and borrowed, and the number of running tasks. `LimitsDecider` makes the decisions; this
+ * module holds the state they are based on.
  */
 import type { CustomerId, HolderId, Ms } from '@cranberryyard/protocol'
 import { sameShares } from './shares.js'
 import type { BorrowedPermits, LentPermits, ShareTable } from './types.js'
 
-/** Loans by customer and partner. A partner is one life of an instance: its next life holds nothing of it. */
+/** Loans by partner and customer. A partner is one incarnation of an instance; the next incarnation inherits no loans. */
 class LoanTable<L extends { readonly count: number, readonly until: Ms }> {
   private readonly loans = new Map<HolderId, Map<CustomerId, L>>()
 
@@ -21,7 +22,7 @@
     else table.set(customer, loan)
   }
 
-  /** Drops loans whose time has passed; returns how many permits they held. */
+  /** Drops expired loans and returns the number of permits in them. */
   expire (now: Ms): number {
     let dropped = 0
     for (const [partner, table] of this.loans) {
@@ -35,6 +36,7 @@
     return dropped
   }
 
+  /** Permits of a customer in all loans that have not expired. */
   sum (customer: CustomerId, now: Ms): number {
     let total = 0
     for (const table of this.loans.values()) {
@@ -48,6 +50,7 @@
     return [...(this.loans.get(partner)?.keys() ?? [])]
   }
 
+  /** Permits in all loans, including expired ones that have not been dropped yet. */
   total (): number {
     let total = 0
     for (const table of this.loans.values()) for (const loan of table.values()) total += loan.count
@@ -55,44 +58,44 @@
   }
 }
 
-/** State of the limits decision. */
+/** State of `LimitsDecider`. */
 export class LimitsDb {
-  /** Oldest first; the last one holds the version known here. */
+  /** Oldest first; the last table covers the newest version known here. */
   readonly tables: ShareTable[] = []
   readonly lent = new LoanTable<LentPermits>()
   readonly borrowed = new LoanTable<BorrowedPermits>()
   private readonly running = new Map<CustomerId, number>()
 
-  /** Adds the newest version's shares; versions that change no share extend the table before. */
+  /** Adds the shares of the newest version. A version that changes no share extends the range of the last table. */
   addTable (table: ShareTable): void {
     const last = this.tables.at(-1)
-    const follows = last !== undefined && last.toVersion + 1 === table.fromVersion && sameShares(last, table)
-    if (follows) this.tables[this.tables.length - 1] = { ...last, toVersion: table.toVersion }
+    const extendsLast = last !== undefined && last.toVersion + 1 === table.fromVersion && sameShares(last, table)
+    if (extendsLast) this.tables[this.tables.length - 1] = { ...last, toVersion: table.toVersion }
     else this.tables.push(table)
   }
 
-  /** Drops tables of versions that nobody follows any more. */
-  dropBelow (version: number): void {
+  /** Drops each table whose successor starts at or before `version`, the oldest one that an instance may still follow. */
+  dropTablesBefore (version: number): void {
     while (this.tables.length > 1 && (this.tables[1]?.fromVersion ?? Infinity) <= version) this.tables.shift()
   }
 
-  /** @returns tasks of a customer that run under this instance's permits */
+  /** @returns number of a customer's tasks running under this instance's permits */
   runningOf (customer: CustomerId): number {
     return this.running.get(customer) ?? 0
   }
 
-  /** Adds to the number of running tasks. */
+  /** Changes the number of running tasks by a difference, which may be negative. */
   addRunning (customer: CustomerId, by: number): void {
     this.running.set(customer, this.runningOf(customer) + by)
   }
 
-  /** @returns permits of a customer on loan from a lender that may be used now */
-  activeLoan (lender: HolderId, customer: CustomerId, now: Ms): number {
+  /** @returns permits of a customer borrowed from one lender that have not expired */
+  borrowedFrom (lender: HolderId, customer: CustomerId, now: Ms): number {
     const loan = this.borrowed.get(lender, customer)
     return loan !== undefined && now < loan.until ? loan.count : 0
   }
 
-  /** @returns customers with running tasks or a share */
+  /** @returns customers with a share in any table, or with tasks that were counted here */
   customers (): CustomerId[] {
     const ids = new Set(this.running.keys())
     for (const table of this.tables) for (const id of table.shares.keys()) ids.add(id)
--- a/packages/core/src/limits/loanPlanner.ts
+++ b/packages/core/src/limits/loanPlanner.ts
@@ -1,46 +1,50 @@
 /**
- * Plans what to borrow: how many permits this instance needs, and whom to ask for them.
+ * Plans loans: how many permits this instance needs and which lenders to request them from. It sends
+ * nothing itself; `LimitsDecider` sends the requests and records the grants.
  */
 import type { CustomerId, Fleet, HolderId, Ms, PermitCount, PermitWish } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { Context } from '../instance/context.js'
 import type { LimitsDb } from './limitsDb.js'
 import { shareOf } from './shares.js'
-import type { QueuedTasks } from './types.js'
+import type { CountQueuedTasks } from './types.js'
 
-/** Permits asked of one lender at least, when messages weigh all; fewer lenders mean fewer messages. */
-const PERMITS_PER_REQUEST_MAX = 64
-/** Renewals after which half of a peak in demand is forgotten. */
+/**
+ * Least number of permits to request from one lender, if that many are missing, at the highest message weight.
+ * Larger requests go to fewer lenders and so need fewer messages.
+ */
+const PERMITS_PER_REQUEST_AT_FULL_WEIGHT = 64
+/** Half-life, in loan renewals, of a remembered peak in demand. */
 const PEAK_HALF_LIFE_RENEWALS = 4
 
-/** What is asked of one lender. */
+/** Permits to request from one lender. */
 export interface LenderPlan {
   readonly wishes: PermitWish[]
   wantsMore: boolean
 }
 
-/** Highest recent demand. */
+/** Highest recent demand for permits, and when it occurred. */
 interface Peak {
   readonly need: number
   readonly at: Ms
 }
 
-/** Permits of the own share that are not out on loan. */
-export type OwnPermits = (customer: CustomerId) => number
+/** Counts the permits of a customer in the own share that are not lent. */
+export type CountUnlentShare = (customer: CustomerId) => number
 
-/** Decides whom to ask for how many permits. */
+/** Decides how many permits to request from which lender. */
 export class LoanPlanner {
   private readonly exhaustedUntil = new Map<string, Ms>()
   private readonly peaks = new Map<CustomerId, Peak>()
   private fleet: Fleet | undefined
 
-  constructor (private readonly ctx: Context, private readonly db: LimitsDb, private readonly own: OwnPermits, private readonly queued: QueuedTasks) {}
+  constructor (private readonly ctx: Context, private readonly db: LimitsDb, private readonly unlentShare: CountUnlentShare, private readonly queuedTasks: CountQueuedTasks) {}
 
   /**
    * Plans a round of requests.
    * @param fleet - limits and roster in force
-   * @param lenders - lives that may be asked
-   * @returns what to ask of each lender; lenders that nothing is asked of are left out
+   * @param lenders - holders that may lend: one incarnation of an instance each
+   * @returns the permits to request from each lender, without lenders from which none are wanted
    */
   plan (fleet: Fleet | undefined, lenders: readonly HolderId[]): Map<HolderId, LenderPlan> {
     this.fleet = fleet
@@ -53,39 +57,39 @@
     return plan
   }
 
-  /** Demand of the last moments: permits are kept a little longer than needed, so that bursts need no new loans. */
+  /** Demand with a slowly decaying peak: permits are kept a little longer than needed, so that bursts need no new loans. */
   private smoothedNeed (customer: CustomerId): number {
     const { now, cfg } = this.ctx
-    const need = this.db.runningOf(customer) + this.queued(customer)
+    const need = this.db.runningOf(customer) + this.queuedTasks(customer)
     const limit = this.limitOf(customer)
     const peak = this.peaks.get(customer)
-    const faded = peak === undefined ? 0 : Math.floor(peak.need * Math.pow(0.5, (now - peak.at) / (PEAK_HALF_LIFE_RENEWALS * cfg.limits.loanRenewMs)))
-    const smoothed = Math.min(limit, Math.max(need, faded))
-    if (need >= faded) this.peaks.set(customer, { need, at: now })
+    const decayedPeak = peak === undefined ? 0 : Math.floor(peak.need * Math.pow(0.5, (now - peak.at) / (PEAK_HALF_LIFE_RENEWALS * cfg.limits.loanRenewMs)))
+    const smoothed = Math.min(limit, Math.max(need, decayedPeak))
+    if (need >= decayedPeak) this.peaks.set(customer, { need, at: now })
     return smoothed
   }
 
-  /** Asks few lenders for large parts rather than all for small ones; gives back what is no longer needed. */
+  /** Requests large portions from few lenders rather than small ones from all, and returns permits no longer needed. */
   private planCustomer (customer: CustomerId, need: number, lenders: readonly HolderId[], plan: Map<HolderId, LenderPlan>): void {
-    const own = this.own(customer)
-    const held = lenders.map(l => this.db.activeLoan(l, customer, this.ctx.now))
-    let missing = need - own - held.reduce((a, b) => a + b, 0)
+    const unlent = this.unlentShare(customer)
+    const held = lenders.map(l => this.db.borrowedFrom(l, customer, this.ctx.now))
+    let missing = need - unlent - held.reduce((a, b) => a + b, 0)
     let surplus = Math.max(0, -missing)
-    const part = Math.max(Math.ceil(missing / lenders.length), Math.min(missing, this.permitsPerRequest()))
-    for (let at = 0; at < lenders.length; at++) {
-      const lender = lenders[at]
+    const portion = Math.max(Math.ceil(missing / lenders.length), Math.min(missing, this.permitsPerRequest()))
+    for (let index = 0; index < lenders.length; index++) {
+      const lender = lenders[index]
       if (lender === undefined) continue
-      const have = held[at] ?? 0
-      const give = Math.min(have, surplus)
-      surplus -= give
-      const extra = Math.max(0, Math.min(part, missing, this.askable(lender, customer) - have))
+      const borrowed = held[index] ?? 0
+      const returned = Math.min(borrowed, surplus)
+      surplus -= returned
+      const extra = Math.max(0, Math.min(portion, missing, this.requestableFrom(lender, customer) - borrowed))
       missing -= extra
-      addWish(plan, lender, { customer, hold: have - give, want: have - give + extra })
+      addWish(plan, lender, { customer, hold: borrowed - returned, want: borrowed - returned + extra })
     }
   }
 
-  /** A lender can give no more than its own share, and nothing while it is known to have given all. */
-  private askable (lender: HolderId, customer: CustomerId): number {
+  /** Most permits that a lender can grant: its own share, or none while it is known to be exhausted. */
+  private requestableFrom (lender: HolderId, customer: CustomerId): number {
     if (this.ctx.now < (this.exhaustedUntil.get(`${lender} ${customer}`) ?? 0)) return 0
     const holders = this.fleet?.roster.entries.map(e => e.holder) ?? []
     return shareOf(this.limitOf(customer), customer, holders, lender)
@@ -96,10 +100,10 @@
   }
 
   private permitsPerRequest (): number {
-    return Math.ceil(PERMITS_PER_REQUEST_MAX * this.ctx.cfg.routing.messageWeight)
+    return Math.ceil(PERMITS_PER_REQUEST_AT_FULL_WEIGHT * this.ctx.cfg.routing.messageWeight)
   }
 
-  /** A lender that gave less than was wanted is not asked for more in the same moment; others are. */
+  /** Requests no more permits from a lender that granted fewer than wanted, for one renewal period; others are asked instead. */
   noteExhausted (lender: HolderId, wishes: readonly PermitWish[], grants: readonly PermitCount[]): void {
     const until = ms(this.ctx.now + this.ctx.cfg.limits.loanRenewMs)
     for (const wish of wishes) {
