--- a/packages/core/src/deduplication/types.ts
+++ b/packages/core/src/deduplication/types.ts
@@ -1,9 +1,10 @@
 /**
- * Types of the deduplication decision: at most once across resubmissions.
+ * Types used to deduplicate requests: stored claims, attempts to win a claim, and their outcomes. They are separate
+ * from `DeduplicationDecider`, so that its database need not import it.
  */
 import type { CustomerId, HolderId, Ms, RequestId, SubmissionId } from '@cranberryyard/protocol'
 
-/** A claim kept by one of its three holders. */
+/** A claim as one of its three holders stores it. */
 export interface StoredClaim {
   readonly customer: CustomerId
   readonly requestId: RequestId
@@ -11,7 +12,7 @@
   readonly expiresAt: Ms
 }
 
-/** A claim that this instance is trying to win. */
+/** An attempt of this instance to win a claim. */
 export interface ClaimAttempt {
   readonly customer: CustomerId
   readonly requestId: RequestId
@@ -20,15 +21,17 @@
   epoch: number
   holders: readonly HolderId[]
   retryAt: Ms
+  /** Holders that granted the claim. */
   readonly granted: Set<HolderId>
+  /** Holders that refused, each with the submission that already has the claim. */
   readonly taken: Map<HolderId, SubmissionId>
 }
 
-/** How an attempt ended. */
+/** Result of an attempt. It is undecidable when the votes show neither a winner nor an earlier claimant. */
 export type ClaimOutcome =
   | { readonly type: 'won' }
   | { readonly type: 'taken', readonly by: SubmissionId }
   | { readonly type: 'undecidable' }
 
-/** Told when an attempt ends. */
+/** Called when an attempt ends by itself; abandoned attempts are not reported. */
 export type ClaimListener = (submissionId: SubmissionId, outcome: ClaimOutcome) => void
