--- a/packages/core/src/contracts/auditChain.spec.ts
+++ b/packages/core/src/contracts/auditChain.spec.ts
@@ -3,7 +3,7 @@
 import type { AuditEntry, AuditTail, ChangeId, EndpointId, InstanceId } from '@cranberryyard/protocol'
 import { appendAudit, findBrokenEntry, trimAudit } from './auditChain.js'
 
-function trail (count: number): AuditTail {
+function trailOf (count: number): AuditTail {
   let tail = EMPTY_FLEET.audit
   for (let i = 0; i < count; i++) {
     tail = appendAudit(tail, {
@@ -21,25 +21,25 @@
   return tail
 }
 
-const check = (entries: readonly AuditEntry[]): number | undefined => findBrokenEntry(entries, AUDIT_ROOT_HASH, 0)
+const brokenEntryOf = (entries: readonly AuditEntry[]): number | undefined => findBrokenEntry(entries, AUDIT_ROOT_HASH, 0)
 
 describe('the audit chain', () => {
-  it('accepts an untouched trail', () => {
-    expect(check(trail(5).entries)).to.equal(undefined)
+  it('is unbroken in an unmodified trail', () => {
+    expect(brokenEntryOf(trailOf(5).entries)).to.equal(undefined)
   })
 
-  it('shows a removed entry', () => {
-    const { entries } = trail(5)
-    expect(check([...entries.slice(0, 2), ...entries.slice(3)])).to.equal(3)
+  it('is broken where an entry was removed', () => {
+    const { entries } = trailOf(5)
+    expect(brokenEntryOf([...entries.slice(0, 2), ...entries.slice(3)])).to.equal(3)
   })
 
-  it('shows an edited entry', () => {
-    const entries = trail(5).entries.map(e => e.sequence === 2 ? { ...e, by: 'team/somebody-else' } : e)
-    expect(check(entries)).to.equal(2)
+  it('is broken at an edited entry', () => {
+    const entries = trailOf(5).entries.map(e => e.sequence === 2 ? { ...e, by: 'team/somebody-else' } : e)
+    expect(brokenEntryOf(entries)).to.equal(2)
   })
 
-  it('continues over a trimmed tail', () => {
-    const trimmed = trimAudit(trail(5), 3)
+  it('is unbroken after archived entries were trimmed', () => {
+    const trimmed = trimAudit(trailOf(5), 3)
     expect(findBrokenEntry(trimmed.entries, trimmed.archivedHash, trimmed.archivedThrough)).to.equal(undefined)
     expect(trimmed.entries.map(e => e.sequence)).to.deep.equal([4, 5])
   })
--- a/packages/core/src/contracts/auditChain.ts
+++ b/packages/core/src/contracts/auditChain.ts
@@ -1,16 +1,17 @@
 /**
- * The audit trail's hash chain: each entry's hash covers its content and the hash before it,
- * so that a removed, edited or reordered entry shows.
+ * Hash chain of the audit trail. Each entry's hash covers its content and the previous entry's hash, so that a
+ * check detects removed, edited or reordered entries. The functions are pure: archived entries can be checked with
+ * the same code as those in the fleet value.
  */
 import { createHash } from 'node:crypto'
 import type { AuditEntry, AuditTail } from '@cranberryyard/protocol'
 
-/** Entries that may stand in the fleet value before older ones are archived. */
+/** Number of audit entries in the fleet value above which older entries are archived. */
 export const AUDIT_TAIL_MAX = 64
-/** Entries that stay in the fleet value after archiving. */
+/** Number of audit entries that stay in the fleet value after archiving. */
 export const AUDIT_TAIL_KEPT = 32
 
-/** An entry before it is chained. */
+/** An entry before it is appended to the chain. */
 export type UnchainedEntry = Omit<AuditEntry, 'sequence' | 'previousHash' | 'hash'>
 
 /**
@@ -32,10 +33,10 @@
 export const contentHash = (change: unknown): string => createHash('sha256').update(JSON.stringify(change)).digest('hex')
 
 /**
- * Appends an entry.
- * @param tail - the trail so far
- * @param entry - what happened
- * @returns the longer trail
+ * Appends an entry to the trail.
+ * @param tail - the present trail
+ * @param entry - the entry, without its position and hashes
+ * @returns the trail with the entry
  */
 export function appendAudit (tail: AuditTail, entry: UnchainedEntry): AuditTail {
   const last = tail.entries.at(-1)
@@ -47,9 +48,9 @@
 
 /**
  * Drops entries that have been archived.
- * @param tail - the trail
- * @param through - last archived sequence
- * @returns the shorter trail
+ * @param tail - the present trail
+ * @param through - sequence of the last archived entry
+ * @returns the remaining trail
  */
 export function trimAudit (tail: AuditTail, through: number): AuditTail {
   const dropped = tail.entries.filter(e => e.sequence <= through)
@@ -59,11 +60,11 @@
 }
 
 /**
- * Checks a run of entries.
+ * Finds the first entry that breaks the chain.
  * @param entries - consecutive entries, oldest first
- * @param rootHash - hash that the first entry must refer to
+ * @param rootHash - expected previous hash of the first entry
  * @param rootSequence - sequence before the first entry
- * @returns sequence of the first entry that does not fit, or undefined when all fit
+ * @returns expected sequence of the first entry with a wrong sequence or hash, or undefined for an unbroken chain
  */
 export function findBrokenEntry (entries: readonly AuditEntry[], rootHash: string, rootSequence: number): number | undefined {
   let previous = rootHash
--- a/packages/core/src/contracts/changeRules.ts
+++ b/packages/core/src/contracts/changeRules.ts
@@ -1,6 +1,7 @@
 /**
- * Who may change what. The team may change everything; a customer's staff may amend their own contract
- * within the bounds the team set, and drain endpoints as long as enough others stay in service.
+ * Rules on who may change what in the fleet value. The team may change everything. A customer's staff may change
+ * their own contract within the bounds that the team set, and drain endpoints while enough others stay active.
+ * The rules are pure functions, so that a change can be checked again after a lost compare-and-swap.
  */
 import type { CodedError, Contract, ContractRecord, CustomerId, EndpointId, EndpointInfo, EndpointOrder, Fleet, Settings } from '@cranberryyard/protocol'
 import { codedError, contractSchema } from '@cranberryyard/protocol'
@@ -9,7 +10,7 @@
 import type { Change } from '../instance/types.js'
 import type { Actor } from './types.js'
 
-/** Part of the endpoints that must stay active when a customer's staff drain one. */
+/** Fraction of the endpoints that must stay active when a customer's staff drain one. */
 const STAFF_ACTIVE_SHARE_MIN = 0.75
 
 /** Sections of a contract that only the team may change. */
@@ -19,8 +20,8 @@
 const ORDER_EVENT = { active: 'resume', draining: 'drain', stopped: 'stop' } as const
 
 /**
- * Finds who a key belongs to.
- * @param keyHash - hash of the key presented
+ * Finds the owner of an operator key.
+ * @param keyHash - hash of the presented key
  * @param teamKeys - team operators from the settings
  * @param fleet - contracts with their staff
  * @returns the actor, or undefined for an unknown key
@@ -37,17 +38,17 @@
 
 /**
  * Names an actor in the audit trail.
- * @param actor - who
+ * @param actor - the actor
  * @returns `team/<name>` or `<customer>/<name>`
  */
 export const actorName = (actor: Actor): string => actor.type === 'team' ? `team/${actor.name}` : `${actor.customer}/${actor.name}`
 
 /**
  * Checks a contract change.
- * @param fleet - the value it applies to
- * @param change - the new contract and the revision it was planned on
- * @param actor - who asks
- * @returns the checked contract, or why not
+ * @param fleet - the fleet value that the change applies to
+ * @param change - the new contract and the revision that it was based on
+ * @param actor - who requests the change
+ * @returns the validated contract, or the reason for rejecting it
  */
 export function checkContractChange (fleet: Fleet, change: Extract<Change, { type: 'contract' }>, actor: Actor): Result<Contract, CodedError> {
   const parsed = contractSchema.safeParse(change.contract)
@@ -72,23 +73,23 @@
 }
 
 function checkMayChange (actor: Actor, contract: Contract, current: ContractRecord | undefined): CodedError | undefined {
-  const over = overBound(contract)
-  if (actor.type === 'team') return over
+  const violation = checkBounds(contract)
+  if (actor.type === 'team') return violation
   if (actor.customer !== contract.customer) return codedError('notPermitted', `staff of ${actor.customer} may not change ${contract.customer}`)
   if (current === undefined) return codedError('notPermitted', 'only the team creates contracts')
-  const fixed = TEAM_SECTIONS.find(s => JSON.stringify(contract[s]) !== JSON.stringify(current.contract[s]))
-  if (fixed !== undefined) return codedError('notPermitted', `only the team changes ${fixed}`, fixed)
-  return over
+  const teamSection = TEAM_SECTIONS.find(s => JSON.stringify(contract[s]) !== JSON.stringify(current.contract[s]))
+  if (teamSection !== undefined) return codedError('notPermitted', `only the team changes ${teamSection}`, teamSection)
+  return violation
 }
 
-function overBound ({ limits, bounds }: Contract): CodedError | undefined {
+function checkBounds ({ limits, bounds }: Contract): CodedError | undefined {
   const keys = ['running', 'startsPerSecond', 'queued'] as const
   const over = keys.find(k => limits[k] > bounds[k])
   if (over === undefined) return undefined
   return codedError('outOfBounds', `${limits[over]} is above the bound ${bounds[over]}`, `limits.${over}`)
 }
 
-/** A key names one customer; the same hash in two contracts would make a caller ambiguous. */
+/** Rejects key hashes that another contract lists: a key must identify one customer, or the caller would be ambiguous. */
 function checkKeysUnique (fleet: Fleet, contract: Contract): CodedError | undefined {
   const others = fleet.contracts.filter(r => r.contract.customer !== contract.customer)
   const taken = new Set(others.flatMap(r => [...r.contract.callers, ...r.contract.staff]).map(k => k.keyHash))
@@ -98,26 +99,26 @@
 
 /**
  * Checks an order for an endpoint.
- * @param fleet - the value it applies to
- * @param change - endpoint and order
- * @param actor - who asks
- * @param known - endpoints in the platform's list
- * @returns the order, or why not
+ * @param fleet - the fleet value that the change applies to
+ * @param change - the endpoint and its new order
+ * @param actor - who requests the change
+ * @param endpoints - endpoints in the platform's list
+ * @returns the new order, or the reason for rejecting it
  */
 export function checkEndpointChange (
   fleet: Fleet,
   change: Extract<Change, { type: 'endpoint' }>,
   actor: Actor,
-  known: readonly EndpointInfo[]
+  endpoints: readonly EndpointInfo[]
 ): Result<EndpointOrder, CodedError> {
-  const info = known.find(e => e.id === change.endpoint)
+  const info = endpoints.find(e => e.id === change.endpoint)
   const record = fleet.endpoints.find(e => e.endpoint === change.endpoint)
   if (info === undefined && record === undefined) return Result.err(codedError('unknownEndpoint', `no endpoint ${change.endpoint}`))
   const next = orderChart.next(record?.order ?? 'active', ORDER_EVENT[change.order])
   if (next === undefined) return Result.err(codedError('invalidTransition', `${record?.order ?? 'active'} cannot become ${change.order}`))
-  const active = known.filter(e => e.id !== change.endpoint && orderOf(fleet, e.id) === 'active')
+  const active = endpoints.filter(e => e.id !== change.endpoint && orderOf(fleet, e.id) === 'active')
   if (actor.type === 'staff') {
-    const denied = checkStaffOrder(change, actor, record, active.length, known.length)
+    const denied = checkStaffOrder(change, actor, record, active.length, endpoints.length)
     if (denied !== undefined) return Result.err(denied)
   }
   if (next !== 'active' && !change.force && info !== undefined && !active.some(e => covers(e, info))) {
@@ -130,25 +131,26 @@
   change: Extract<Change, { type: 'endpoint' }>,
   actor: Extract<Actor, { type: 'staff' }>,
   record: { readonly by: string } | undefined,
-  activeWithout: number,
+  activeOthers: number,
   total: number
 ): CodedError | undefined {
-  if (change.force) return codedError('notPermitted', 'only the team may force')
+  if (change.force) return codedError('notPermitted', 'only the team may force an order')
   switch (change.order) {
     case 'stopped':
       return codedError('notPermitted', 'only the team stops endpoints')
     case 'draining':
-      return activeWithout >= total * STAFF_ACTIVE_SHARE_MIN ? undefined : codedError('notPermitted', 'too few endpoints would stay active')
+      return activeOthers >= total * STAFF_ACTIVE_SHARE_MIN ? undefined : codedError('notPermitted', `only ${activeOthers} of ${total} endpoints would stay active, and staff must leave ${100 * STAFF_ACTIVE_SHARE_MIN} % active`)
     case 'active':
-      return record === undefined || record.by.startsWith(`${actor.customer}/`) ? undefined : codedError('notPermitted', `${record.by} gave the present order`)
+      return record === undefined || record.by.startsWith(`${actor.customer}/`) ? undefined : codedError('notPermitted', `the current order was given by ${record.by}`)
   }
 }
 
-function covers (big: EndpointInfo, small: EndpointInfo): boolean {
-  return big.cores >= small.cores && big.memoryMb >= small.memoryMb && big.accelerators >= small.accelerators
+/** Whether an endpoint has at least the capacity of another one, so that it can run the same tasks. */
+function covers (larger: EndpointInfo, smaller: EndpointInfo): boolean {
+  return larger.cores >= smaller.cores && larger.memoryMb >= smaller.memoryMb && larger.accelerators >= smaller.accelerators
 }
 
-/** @returns the operators' order for an endpoint; active unless told otherwise */
+/** @returns the operators' order for an endpoint, which is active unless they gave another one */
 export function orderOf (fleet: Fleet, endpoint: EndpointId): EndpointOrder {
   return fleet.endpoints.find(e => e.endpoint === endpoint)?.order ?? 'active'
 }
--- a/packages/core/src/contracts/contractsDb.ts
+++ b/packages/core/src/contracts/contractsDb.ts
@@ -1,5 +1,6 @@
 /**
- * The agreed value as this instance knows it, and lookups derived from it.
+ * Holds the fleet value that this instance follows and indexes its contracts for lookups by customer and by caller
+ * key. `ContractsDecider` decides which value is adopted; other deciders only read here.
  */
 import type { CustomerId, Fleet, KindTerms, Contract } from '@cranberryyard/protocol'
 import { EMPTY_FLEET } from '@cranberryyard/protocol'
@@ -7,12 +8,12 @@
 /** The fleet value in force here. */
 export class ContractsDb {
   fleet: Fleet = EMPTY_FLEET
-  /** Revision of the store's key that held `fleet`; 0 before the first write. */
+  /** Revision of the store's key under which `fleet` was stored; 0 before the first write. */
   storeRevision = 0
   private readonly byCustomer = new Map<CustomerId, Contract>()
   private readonly byCallerKey = new Map<string, CustomerId>()
 
-  /** Replaces the value; callers make sure that the version grows. */
+  /** Replaces the fleet value and rebuilds the indexes. Callers ensure that the version increases. */
   adopt (fleet: Fleet, storeRevision: number): void {
     this.fleet = fleet
     this.storeRevision = Math.max(storeRevision, this.storeRevision)
@@ -27,12 +28,11 @@
     for (const caller of contract.callers) this.byCallerKey.set(caller.keyHash, customer)
   }
 
-  /** @returns the customer a caller's key belongs to */
+  /** @returns the customer whose contract lists a caller's key */
   customerOfKey (keyHash: string): CustomerId | undefined {
     return this.byCallerKey.get(keyHash)
   }
 
-  /** @returns a customer's contract */
   contract (customer: CustomerId): Contract | undefined {
     return this.byCustomer.get(customer)
   }
@@ -42,7 +42,7 @@
     return [...this.byCustomer.keys()]
   }
 
-  /** @returns the terms of one kind of request */
+  /** @returns a customer's terms for one kind of request */
   terms (customer: CustomerId, kind: string): KindTerms | undefined {
     return this.byCustomer.get(customer)?.kinds.find(k => k.name === kind)
   }
--- a/packages/core/src/contracts/contractsDecider.ts
+++ b/packages/core/src/contracts/contractsDecider.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the agreed fleet value current and changes it. One instance of each domain waits on the store's watch
- * and tells the others; heartbeats carry the version, so that anyone who missed it asks. A value is adopted
- * only when its version is higher, so nothing in force is taken back. Writes are grouped: all changes that wait
- * go into one compare-and-swap.
+ * Keeps this instance's copy of the agreed fleet value current and writes changes to it. One instance of each
+ * failure domain watches the store and forwards new values to the others; heartbeats carry the version, so that an
+ * instance that missed a value requests it. A value is adopted only when its version is higher, so a value in force
+ * is never rolled back. Writes are batched: all pending changes go into one compare-and-swap.
  */
 import type { ChangeId, CodedError, Fleet, InstanceId } from '@cranberryyard/protocol'
 import { codedError, ms } from '@cranberryyard/protocol'
@@ -16,72 +16,72 @@
 import { ContractsDb } from './contractsDb.js'
 import { findActor, findContract } from './changeRules.js'
 import { applyMutation, findChange } from './mutations.js'
-import type { FleetListener, Mutation, MutationWorld, PendingMutation } from './types.js'
+import type { FleetListener, Mutation, MutationContext, PendingMutation } from './types.js'
 
-/** Pause after a failed store call; keeps an outage from being answered with a storm. */
+/** Pause after a failed store call, so that an outage does not cause a storm of retries. */
 const STORE_RETRY_MS = 1000
-/** Changes of operators are answered as not possible after this span. */
+/** Time after which an operator's change that is not settled is answered with an error. */
 const CHANGE_GIVE_UP_MS = 6000
-/** Roster changes are tried for as long as they are needed; the decider asks again. */
+/** Time after which a pending roster change is dropped. `RosterDecider` proposes it again while it is needed. */
 const ROSTER_GIVE_UP_MS = 10_000
-/** Shortest pause between two writes of this instance, so that it stays within its calls a second. */
+/** Shortest interval between writes of this instance, which keeps it within its limit of store calls per second. */
 const WRITE_PAUSE_MS = 350
-/** Pause between two requests for the fleet value to the same peers. */
+/** Shortest interval between requests for the fleet value to other instances. */
 const FLEET_REQUEST_PAUSE_MS = 200
 
 type StoreState = 'idle' | 'reading' | 'writing'
 
-/** Decides which fleet value is in force here and how it changes. */
+/** Decides which fleet value this instance adopts, and applies changes to the stored value. */
 export class ContractsDecider {
   readonly db = new ContractsDb()
   private readonly listeners: FleetListener[] = []
   private readonly pending: PendingMutation[] = []
-  private store: StoreState = 'idle'
+  private storeState: StoreState = 'idle'
   private storeUsableAt = 0
   private lastWriteAt = -Infinity
-  private watching = false
+  private isWatchOpen = false
   private lastReadAt = -Infinity
-  private requestAt = 0
-  private attempt = 0
-  private archiving = false
-  private inFlight: Fleet | undefined
-  private readSinceUnknown = true
-  private readonly peerVersions = new Map<InstanceId, number>()
-  /** True once the value was read from the store or confirmed by a majority of the own domain. */
+  private nextRequestAt = 0
+  private writeAttempt = 0
+  private isArchiving = false
+  private writeInFlight: Fleet | undefined
+  private readSinceFailure = true
+  private readonly confirmedVersions = new Map<InstanceId, number>()
+  /** True once the value was read from the store or confirmed by a majority of the own failure domain. */
   confirmed = false
-  /** True while the last store call went through. */
+  /** True while the last store call succeeded. */
   storeReachable = false
 
-  constructor (private readonly ctx: Context, private readonly membership: MembershipDecider, private readonly world: () => MutationWorld) {}
+  constructor (private readonly ctx: Context, private readonly membership: MembershipDecider, private readonly mutationContext: () => MutationContext) {}
 
-  /** Registers who is told of a new value. */
+  /** Registers a listener that is called with each newly adopted value. */
   onAdopt (listener: FleetListener): void {
     this.listeners.push(listener)
   }
 
-  /** @returns version of the value in force */
+  /** Version of the adopted value. */
   get version (): number {
     return this.db.fleet.version
   }
 
-  /** Reads, watches, writes and asks peers as is due. */
+  /** Makes the store calls and peer requests that are due, expires pending changes and archives audit entries. */
   tick (): void {
     if (this.ctx.now >= this.storeUsableAt) this.useStore()
-    if (!this.confirmed) this.askPeers()
+    if (!this.confirmed) this.requestFromPeers()
     this.expirePending()
     this.archiveIfLong()
   }
 
-  /** Queues a change of the roster; the same change is not queued twice. */
+  /** Queues a mutation that no operator waits for, such as a roster change, unless the same one is already pending. */
   propose (mutation: Mutation): void {
     if (this.pending.some(p => sameRosterChange(p.mutation, mutation))) return
     this.enqueue(mutation, undefined, undefined, ROSTER_GIVE_UP_MS)
   }
 
   /**
-   * Takes an operator's change.
-   * @param callId - whom to answer
-   * @param request - the change
+   * Queues an operator's change, or rejects it when the key is unknown.
+   * @param callId - the call that receives the result
+   * @param request - the change, with the operator's key
    */
   change (callId: string, request: ChangeRequest): void {
     const actor = findActor(request.keyHash, this.ctx.cfg.operators.teamKeys, this.db.fleet)
@@ -95,37 +95,37 @@
     this.useStore()
   }
 
-  /** Notes that a peer knows a version; asks for it when it is newer. */
+  /** Handles the fleet version in a peer's heartbeat: requests the value when the version is newer. */
   hearVersion (from: InstanceId, version: number): void {
     if (version <= this.version) return
-    this.request(from)
+    this.requestFleet(from)
   }
 
-  /** Answers a peer that asks for the value. */
+  /** Answers a peer's request for the fleet value. */
   sendFleet (to: InstanceId): void {
     this.membership.tell(to, { type: 'fleet', fleet: this.db.fleet, storeRevision: this.db.storeRevision, confirmed: this.confirmed })
   }
 
-  /** Takes a peer's value. */
+  /** Handles a peer's fleet value. */
   receiveFleet (from: InstanceId, fleet: Fleet, storeRevision: number, confirmed: boolean): void {
-    if (confirmed) this.peerVersions.set(from, fleet.version)
+    if (confirmed) this.confirmedVersions.set(from, fleet.version)
     this.adopt(fleet, storeRevision)
     if (!this.confirmed) this.confirmByPeers()
   }
 
-  /** Takes a value from the store. */
+  /** Handles a value that the store returned to a read or a watch. */
   storeValue (source: 'read' | 'watch', revision: number, fleet: Fleet): void {
     this.noteStoreAnswer(source)
     this.confirm()
-    const news = fleet.version > this.version
+    const isNewer = fleet.version > this.version
     this.adopt(fleet, revision)
     this.db.storeRevision = Math.max(this.db.storeRevision, revision)
     this.settleAccepted()
-    if (news) this.pushToDomain()
+    if (isNewer) this.pushToDomain()
     this.useStore()
   }
 
-  /** Takes a watch that ended without a change. */
+  /** Handles a watch that ended without a change. */
   storeUnchanged (): void {
     this.noteStoreAnswer('watch')
     this.useStore()
@@ -134,24 +134,24 @@
   private noteStoreAnswer (source: 'read' | 'watch'): void {
     this.storeReachable = true
     this.lastReadAt = this.ctx.now
-    if (source === 'watch') this.watching = false
-    else if (this.store === 'reading') this.store = 'idle'
+    if (source === 'watch') this.isWatchOpen = false
+    else if (this.storeState === 'reading') this.storeState = 'idle'
   }
 
-  /** Takes a failed read or watch. */
+  /** Handles a failed read or watch. */
   storeFailed (operation: 'read' | 'watch'): void {
-    if (operation === 'watch') this.watching = false
-    if (operation === 'read' && this.store === 'reading') this.store = 'idle'
+    if (operation === 'watch') this.isWatchOpen = false
+    if (operation === 'read' && this.storeState === 'reading') this.storeState = 'idle'
     this.noteStoreFailure()
   }
 
-  /** Takes the end of a compare-and-swap. */
+  /** Handles the result of a compare-and-swap. After an unknown result, the value is read back before the next write. */
   casOutcome (attempt: number, result: CasResult): void {
-    if (attempt !== this.attempt || this.store !== 'writing') return
-    this.store = 'idle'
+    if (attempt !== this.writeAttempt || this.storeState !== 'writing') return
+    this.storeState = 'idle'
     switch (result.type) {
       case 'written':
-        this.written(result.revision)
+        this.completeWrite(result.revision)
         return
       case 'conflict':
         this.ctx.out.count('store.conflicts')
@@ -161,30 +161,30 @@
         this.noteStoreFailure()
         return
       case 'unknown':
-        for (const p of this.pending) p.sentUnknown = true
+        for (const p of this.pending) p.writeOutcomeUnknown = true
         this.noteStoreFailure()
     }
   }
 
-  /** Takes the end of archiving old audit entries. */
+  /** Handles the result of archiving audit entries: once archived, they are trimmed from the fleet value. */
   archiveOutcome (through: number, ok: boolean): void {
-    this.archiving = false
+    this.isArchiving = false
     if (ok) this.propose({ type: 'archived', through })
     else this.noteStoreFailure()
   }
 
-  /** @returns true when this instance holds its domain's watch: it is the oldest live one there */
+  /** @returns true when this instance watches the store for its failure domain: no live instance there that is not leaving is older */
   isWatcher (): boolean {
     const { self } = this.ctx
     const older = this.membership.liveInDomain().filter(m => m.status !== 'leaving' && byAge(m, self) < 0)
     return older.length === 0
   }
 
-  private written (revision: number): void {
+  private completeWrite (revision: number): void {
     this.storeReachable = true
-    const fleet = this.inFlight
+    const fleet = this.writeInFlight
     if (fleet === undefined) return
-    this.inFlight = undefined
+    this.writeInFlight = undefined
     this.adopt(fleet, revision)
     this.confirm()
     this.settleAccepted()
@@ -193,34 +193,37 @@
   }
 
   private useStore (): void {
-    if (this.store !== 'idle' || this.ctx.now < this.storeUsableAt) return
-    if (!this.confirmed || this.mustReadBack() || this.ctx.now - this.lastReadAt > this.readPeriod()) {
+    if (this.storeState !== 'idle' || this.ctx.now < this.storeUsableAt) return
+    if (!this.confirmed || this.mustReadBack() || this.ctx.now - this.lastReadAt > this.readPeriodMs()) {
       this.read()
       return
     }
     if (this.pending.length > 0 && this.ctx.now - this.lastWriteAt >= WRITE_PAUSE_MS) this.write()
-    if (!this.watching && this.isWatcher()) this.watch()
+    if (!this.isWatchOpen && this.isWatcher()) this.watch()
   }
 
-  /** An unconfirmed value is read every second; a non-watcher reads rarely; the watch serves the rest. */
-  private readPeriod (): number {
-    return this.watching ? Infinity : this.ctx.cfg.platform.pollPeriodMs
+  /**
+   * Interval between reads of a confirmed value: none are needed while this instance's watch is open, and other
+   * instances poll rarely. An unconfirmed value is read without this interval, every `STORE_RETRY_MS` while reads fail.
+   */
+  private readPeriodMs (): number {
+    return this.isWatchOpen ? Infinity : this.ctx.cfg.platform.pollPeriodMs
   }
 
   private mustReadBack (): boolean {
-    return this.pending.some(p => p.sentUnknown) && !this.readSinceUnknown
+    return this.pending.some(p => p.writeOutcomeUnknown) && !this.readSinceFailure
   }
 
   private read (): void {
-    this.store = 'reading'
+    this.storeState = 'reading'
     this.lastReadAt = this.ctx.now
-    this.readSinceUnknown = true
+    this.readSinceFailure = true
     this.ctx.out.count('store.calls')
     this.ctx.out.push({ type: 'storeRead' })
   }
 
   private watch (): void {
-    this.watching = true
+    this.isWatchOpen = true
     this.ctx.out.count('store.calls')
     this.ctx.out.push({ type: 'storeWatch', afterRevision: this.db.storeRevision })
   }
@@ -228,39 +231,42 @@
   private write (): void {
     const next = this.composeNext()
     if (next === undefined) return
-    this.store = 'writing'
-    this.attempt++
+    this.storeState = 'writing'
+    this.writeAttempt++
     this.lastWriteAt = this.ctx.now
-    this.inFlight = next
+    this.writeInFlight = next
     this.ctx.out.count('store.calls')
-    this.ctx.out.push({ type: 'storeCas', attempt: this.attempt, expectedRevision: this.db.storeRevision, fleet: next })
+    this.ctx.out.push({ type: 'storeCas', attempt: this.writeAttempt, expectedRevision: this.db.storeRevision, fleet: next })
   }
 
-  /** Applies all that waits; what the rules reject is answered now, what changes nothing is settled now. */
+  /** Applies all pending changes. Those that the rules reject and those that change nothing are settled at once. */
   private composeNext (): Fleet | undefined {
     const { fleet } = this.db
     let next = fleet
     for (const p of [...this.pending]) {
-      const applied: Result<Fleet, CodedError> = applyMutation(next, p.mutation, this.world())
-      if (applied.isErr) this.settle(p, { type: 'rejected', error: this.truthful(p, applied.error) })
+      const applied: Result<Fleet, CodedError> = applyMutation(next, p.mutation, this.mutationContext())
+      if (applied.isErr) this.settle(p, { type: 'rejected', error: this.errorAfterUnknownWrite(p, applied.error) })
       else if (applied.value === next) this.settle(p, this.acceptance(p, next))
       else next = applied.value
     }
     return next === fleet ? undefined : { ...next, version: fleet.version + 1 }
   }
 
-  /** A conflict after an unknown write may be with the write itself, if its entry was archived meanwhile. */
-  private truthful (p: PendingMutation, error: CodedError): CodedError {
-    if (!p.sentUnknown || error.name !== 'revisionConflict') return error
-    return codedError('changeUnknown', 'the reply to the write was lost and the revision has moved on; read the history')
+  /**
+   * Replaces a revision conflict after a write with unknown outcome. The write itself may have caused the conflict,
+   * and its audit entry may have been archived meanwhile, so whether it was accepted is not known.
+   */
+  private errorAfterUnknownWrite (p: PendingMutation, error: CodedError): CodedError {
+    if (!p.writeOutcomeUnknown || error.name !== 'revisionConflict') return error
+    return codedError('changeUnknown', 'the reply to the write was lost and the contract has a newer revision; check the history for this change')
   }
 
-  /** Settles what stands in the value already; the same id with another content is a replay, not accepted. */
+  /** Settles pending changes that the value already contains. A change that reuses an id for other content is rejected. */
   private settleAccepted (): void {
     const { fleet } = this.db
     for (const p of [...this.pending]) {
       if (p.changeId !== undefined && findChange(fleet, { changeId: p.changeId }) === undefined) continue
-      const applied = applyMutation(fleet, p.mutation, this.world())
+      const applied = applyMutation(fleet, p.mutation, this.mutationContext())
       if (applied.isErr) this.settle(p, { type: 'rejected', error: applied.error })
       else if (applied.value === fleet) this.settle(p, this.acceptance(p, fleet))
     }
@@ -271,17 +277,17 @@
   }
 
   private settle (p: PendingMutation, result: ChangeResult): void {
-    this.remove(p)
+    this.removePending(p)
     if (p.callId !== undefined) this.ctx.out.push({ type: 'changeResult', callId: p.callId, result })
   }
 
-  private remove (p: PendingMutation): void {
+  private removePending (p: PendingMutation): void {
     const at = this.pending.indexOf(p)
     if (at >= 0) this.pending.splice(at, 1)
   }
 
   private enqueue (mutation: Mutation, callId: string | undefined, changeId: ChangeId | undefined, giveUpMs: number): void {
-    this.pending.push({ mutation, callId, changeId, giveUpAt: ms(this.ctx.now + giveUpMs), sentUnknown: false })
+    this.pending.push({ mutation, callId, changeId, giveUpAt: ms(this.ctx.now + giveUpMs), writeOutcomeUnknown: false })
   }
 
   private reject (callId: string, error: CodedError): void {
@@ -289,11 +295,11 @@
   }
 
   private expirePending (): void {
-    if (this.store === 'writing') return
+    if (this.storeState === 'writing') return
     for (const p of [...this.pending]) {
       if (this.ctx.now < p.giveUpAt) continue
-      const error = p.sentUnknown
-        ? codedError('changeUnknown', 'the platform\'s store did not answer; the change may have been accepted')
+      const error = p.writeOutcomeUnknown
+        ? codedError('changeUnknown', 'the platform\'s store did not answer; whether the change was accepted is unknown')
         : codedError('storeUnavailable', 'the platform\'s store could not be reached; the change was not made')
       this.settle(p, { type: 'rejected', error })
     }
@@ -301,20 +307,20 @@
 
   private archiveIfLong (): void {
     const { entries } = this.db.fleet.audit
-    if (this.archiving || entries.length <= AUDIT_TAIL_MAX || !this.storeReachable || this.ctx.now < this.storeUsableAt || !this.isWatcher()) return
-    const old = entries.slice(0, entries.length - AUDIT_TAIL_KEPT)
-    const first = old[0]
-    const last = old.at(-1)
+    if (this.isArchiving || entries.length <= AUDIT_TAIL_MAX || !this.storeReachable || this.ctx.now < this.storeUsableAt || !this.isWatcher()) return
+    const archived = entries.slice(0, entries.length - AUDIT_TAIL_KEPT)
+    const first = archived[0]
+    const last = archived.at(-1)
     if (first === undefined || last === undefined) return
-    this.archiving = true
+    this.isArchiving = true
     this.ctx.out.count('store.calls')
-    this.ctx.out.push({ type: 'storeArchive', through: last.sequence, key: `audit.${first.sequence}`, value: JSON.stringify(old) })
+    this.ctx.out.push({ type: 'storeArchive', through: last.sequence, key: `audit.${first.sequence}`, value: JSON.stringify(archived) })
   }
 
   private noteStoreFailure (): void {
     if (this.storeReachable) this.ctx.out.push({ type: 'log', event: 'store.unreachable', fields: {} })
     this.storeReachable = false
-    this.readSinceUnknown = false
+    this.readSinceFailure = false
     this.storeUsableAt = this.ctx.now + STORE_RETRY_MS
   }
 
@@ -332,38 +338,41 @@
     for (const m of this.membership.serving()) {
       if (domains.has(m.failureDomain)) continue
       domains.add(m.failureDomain)
-      this.announce(m.instance)
+      this.announceVersion(m.instance)
     }
   }
 
-  /** A heartbeat-sized note; the peer asks for the value only when its own watch has not brought it. */
-  private announce (to: InstanceId): void {
+  /** Sends only the version, in a message as small as a heartbeat. The peer requests the value if its own watch has not delivered it. */
+  private announceVersion (to: InstanceId): void {
     this.membership.tell(to, { type: 'gossip', entries: [], fleetVersion: this.version })
   }
 
-  private request (from: InstanceId): void {
-    if (this.ctx.now < this.requestAt) return
+  private requestFleet (from: InstanceId): void {
+    if (this.ctx.now < this.nextRequestAt) return
     const address = this.membership.db.addressOf(from)
     if (address === undefined) return
-    this.requestAt = this.ctx.now + FLEET_REQUEST_PAUSE_MS
+    this.nextRequestAt = this.ctx.now + FLEET_REQUEST_PAUSE_MS
     sendPeer(this.ctx, from, address, { type: 'fleetRequest' })
   }
 
-  private askPeers (): void {
-    if (this.ctx.now < this.requestAt) return
+  private requestFromPeers (): void {
+    if (this.ctx.now < this.nextRequestAt) return
     for (const member of this.membership.db.all()) {
-      this.requestAt = 0
-      this.request(member.instance)
+      this.nextRequestAt = 0
+      this.requestFleet(member.instance)
     }
-    this.requestAt = this.ctx.now + STORE_RETRY_MS
+    this.nextRequestAt = this.ctx.now + STORE_RETRY_MS
   }
 
-  /** Without the store, a majority of the own domain's roster must vouch that nothing newer is in force there. */
+  /**
+   * Confirms the value without the store: a majority of the own failure domain's roster must have sent a confirmed
+   * value, which shows that no newer one is in force there.
+   */
   private confirmByPeers (): void {
     const { self } = this.ctx
     const domain = this.db.fleet.roster.entries.filter(e => e.failureDomain === self.failureDomain)
-    const vouched = domain.filter(e => this.peerVersions.has(e.instance))
-    if (domain.length > 0 && vouched.length * 2 > domain.length) this.confirm()
+    const confirming = domain.filter(e => this.confirmedVersions.has(e.instance))
+    if (domain.length > 0 && confirming.length * 2 > domain.length) this.confirm()
   }
 
   private confirm (): void {
--- a/packages/core/src/contracts/types.ts
+++ b/packages/core/src/contracts/types.ts
@@ -1,15 +1,16 @@
 /**
- * Types of the decision about the agreed fleet value: who may change what, and how changes are applied.
+ * Types used to change the agreed fleet value: who makes a change, what it changes, and how it ends. They are
+ * separate from `ContractsDecider`, so that the rules and mutations need not import it.
  */
 import type { ChangeId, CodedError, CustomerId, EndpointInfo, Fleet, HolderId, InstanceId, Ms, RosterEntry, FailureDomain } from '@cranberryyard/protocol'
 import type { ChangeRequest } from '../instance/types.js'
 
-/** Who stands behind a key. */
+/** The person whom an operator key identifies: a member of the team, or of a customer's staff. */
 export type Actor =
   | { readonly type: 'team', readonly name: string }
   | { readonly type: 'staff', readonly name: string, readonly customer: CustomerId }
 
-/** A change of the fleet value. Each can be applied again to a newer value after a lost race. */
+/** A change of the fleet value. After a lost compare-and-swap it can be applied again to the newer value. */
 export type Mutation =
   | { readonly type: 'join', readonly entry: RosterEntry, readonly predecessorWaitMs: Ms }
   | { readonly type: 'remove', readonly holder: HolderId, readonly failureDomain: FailureDomain, readonly waitMs: Ms }
@@ -17,24 +18,24 @@
   | { readonly type: 'change', readonly request: ChangeRequest, readonly actor: Actor, readonly at: Ms, readonly instance: InstanceId }
   | { readonly type: 'archived', readonly through: number }
 
-/** What applying a mutation needs to know besides the fleet value. */
-export interface MutationWorld {
+/** Input besides the fleet value that applying a mutation needs. */
+export interface MutationContext {
   readonly endpoints: readonly EndpointInfo[]
 }
 
-/** Told when the agreed value changes. */
+/** Called when an instance adopts a new fleet value. */
 export interface FleetListener {
   fleetAdopted (fleet: Fleet, previous: Fleet): void
 }
 
-/** A change waiting for its compare-and-swap. */
+/** A change that waits for a compare-and-swap. */
 export interface PendingMutation {
   readonly mutation: Mutation
   readonly callId: string | undefined
   readonly changeId: ChangeId | undefined
   readonly giveUpAt: Ms
-  /** True once a write that holds it was sent and its outcome never became known. */
-  sentUnknown: boolean
+  /** True once a write that contains it was sent and the outcome of the write is unknown. */
+  writeOutcomeUnknown: boolean
 }
 
 /** Outcome of a pending change. */
