--- a/packages/core/src/endpoints/endpointList.spec.ts
+++ b/packages/core/src/endpoints/endpointList.spec.ts
@@ -19,8 +19,8 @@
   return { ctx, list: new EndpointList(ctx, id => gone.push(id)), gone }
 }
 
-describe('the list of endpoints at an instance', () => {
-  it('is fresh only when it was read as an owner', () => {
+describe('EndpointList, an instance\'s copy of the list of endpoints', () => {
+  it('counts a list as fresh only when it was read as an owner', () => {
     const { ctx, list } = setUp()
     list.take([report('a')], false)
     expect(list.freshAt).to.equal(undefined)
@@ -29,7 +29,7 @@
     expect(list.freshAt).to.equal(50)
   })
 
-  it('is known in full once entries that had lapsed before had time to come back', () => {
+  it('is known in full once entries that had lapsed before the first read have had time to come back', () => {
     const { ctx, list } = setUp()
     list.take([report('a')], false)
     ctx.now = ms(missingMs - 1)
@@ -40,7 +40,7 @@
     expect([list.knownInFullSince, list.of(NEAR).map(entry => entry.id)]).to.deep.equal([missingMs + 100, ['a']])
   })
 
-  it('gives entries the whole span again after the store was away', () => {
+  it('gives missing entries the whole span again after a store outage', () => {
     const { ctx, list, gone } = setUp()
     list.take([report('a')], false)
     list.take([], false)
--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -1,18 +1,19 @@
 /**
- * The store's list of endpoints as this instance knows it: entries, how fresh they are, and which endpoints are gone.
- * The list is read at intervals, lags, and leaves out endpoints for a while after the store was away.
+ * This instance's copy of the store's list of endpoints: the entries, how fresh they are, and which endpoints are gone.
+ * The store's list is read at intervals, lags behind, and for a while after a store outage leaves out endpoints that still
+ * exist. An endpoint therefore counts as gone only after lists have left it out for `missingMs`.
  */
 import type { EndpointId, EndpointReport, FailureDomain, Ms } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
 
-/** An endpoint's latest entry in the list. */
+/** The latest entry of an endpoint. */
 interface ListEntry {
   readonly report: EndpointReport
-  /** When a list first left it out; lists from before the store was away do not count. */
+  /** When a list first left the endpoint out; a store outage restarts this span. */
   missingSince: Ms | undefined
 }
 
-/** The list. */
+/** The endpoints of all failure domains, as the store listed them. */
 export class EndpointList {
   private readonly entries = new Map<EndpointId, ListEntry>()
   private lastFreshAt: Ms | undefined
@@ -21,50 +22,53 @@
 
   constructor (private readonly ctx: ShardContext, private readonly onGone: (id: EndpointId) => void) {}
 
-  /** When a list was last read that was not older than this instance's ownership. */
+  /** When this instance last read the list as an owner, not from a copy that may be old. */
   get freshAt (): Ms | undefined {
     return this.lastFreshAt
   }
 
-  /** When the list was first read with all entries that had lapsed before; undefined before that. */
+  /**
+   * When the list was first read after entries that had lapsed before the first read had `missingMs` to come back; undefined
+   * before that.
+   */
   get knownInFullSince (): Ms | undefined {
     return this.completeSince
   }
 
-  /** @returns a failure domain's endpoints */
+  /** Returns the endpoints of a failure domain. */
   of (failureDomain: FailureDomain): EndpointReport[] {
     return [...this.entries.values()].map(entry => entry.report).filter(report => report.failureDomain === failureDomain)
   }
 
   /**
-   * Takes a list that was read from the store.
-   * @param reports - its entries
-   * @param fresh - whether it was read as an owner, not from a copy that may be old
+   * Applies a list that was read from the store.
+   * @param reports - the entries of the list
+   * @param fresh - true when the list was read as an owner, not from a copy that may be old
    */
   take (reports: readonly EndpointReport[], fresh: boolean): void {
     const { now, cfg } = this.ctx
-    const shown = new Set<EndpointId>()
+    const listedIds = new Set<EndpointId>()
     if (fresh) this.lastFreshAt = now
     this.firstReadAt ??= now
     if (now - this.firstReadAt >= cfg.missingMs) this.completeSince ??= now
     for (const report of reports) {
-      shown.add(report.id)
+      listedIds.add(report.id)
       this.entries.set(report.id, { report, missingSince: undefined })
     }
     for (const [id, entry] of this.entries) {
-      if (!shown.has(id)) this.missing(id, entry)
+      if (!listedIds.has(id)) this.removeIfGone(id, entry)
     }
   }
 
-  /** The store is back: entries that lapsed meanwhile get the whole span to come back. */
+  /** Called when the store is reachable again: entries that it lost meanwhile get the whole span to come back. */
   storeRegained (): void {
     for (const entry of this.entries.values()) {
       if (entry.missingSince !== undefined) entry.missingSince = this.ctx.now
     }
   }
 
-  /** An endpoint counts as gone when lists over a whole span do not show it; a span without any list says nothing. */
-  private missing (id: EndpointId, entry: ListEntry): void {
+  /** An endpoint counts as gone when lists have left it out for `missingMs`; time without any list does not count by itself. */
+  private removeIfGone (id: EndpointId, entry: ListEntry): void {
     const { now, cfg, out } = this.ctx
     entry.missingSince ??= now
     const missingMs = now - entry.missingSince
--- a/packages/core/src/endpoints/endpointsDb.ts
+++ b/packages/core/src/endpoints/endpointsDb.ts
@@ -1,5 +1,6 @@
 /**
- * State of the endpoint ledger: endpoints of owned shards with their runs, and arithmetic on room and clocks.
+ * State of the endpoint ledger: the endpoints of owned shards with their runs, and the arithmetic on room and clocks.
+ * It decides nothing; `EndpointsDecider` changes it, and placement reads the room that is left.
  */
 import type { EndpointClockMs, EndpointId, EndpointReport, FencingToken, Ms, Resources, TaskName } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -7,7 +8,7 @@
 
 export const NO_RESOURCES: Resources = { cpuMilli: 0, memoryMb: 0, accelerators: 0 }
 
-/** Room left at an endpoint; nothing while a run of unknown size is there. */
+/** Returns the room left at an endpoint; none while a run with unknown needs is there. */
 export function freeRoom (endpoint: LedgerEndpoint): Resources {
   endpoint.free ??= countFree(endpoint)
   return endpoint.free
@@ -22,26 +23,23 @@
   return room
 }
 
-/** @returns what two parts take together */
 export function plus (a: Resources, b: Resources): Resources {
   return { cpuMilli: a.cpuMilli + b.cpuMilli, memoryMb: a.memoryMb + b.memoryMb, accelerators: a.accelerators + b.accelerators }
 }
 
-/** @returns what is left of `room` without `taken` */
 export function minus (room: Resources, taken: Resources): Resources {
   return { cpuMilli: room.cpuMilli - taken.cpuMilli, memoryMb: room.memoryMb - taken.memoryMb, accelerators: room.accelerators - taken.accelerators }
 }
 
-/** @returns true when the task fits into the room */
 export function fits (needs: Resources, room: Resources): boolean {
   return needs.cpuMilli <= room.cpuMilli && needs.memoryMb <= room.memoryMb && needs.accelerators <= room.accelerators
 }
 
 /**
- * Makes a run that takes room from now on.
- * @param known - what differs from a start that was not sent yet
+ * Creates the ledger entry of a run.
+ * @param overrides - values that differ from those of a start that has not been sent
  */
-export function makeRun (endpoint: LedgerEndpoint, task: TaskName, run: number, now: Ms, known: Partial<LedgerRun> & Pick<LedgerRun, 'state'>): LedgerRun {
+export function makeRun (endpoint: LedgerEndpoint, task: TaskName, run: number, now: Ms, overrides: Partial<LedgerRun> & Pick<LedgerRun, 'state'>): LedgerRun {
   return {
     task,
     run,
@@ -59,27 +57,26 @@
     percent: 0,
     percentAt: now,
     foundPercent: undefined,
-    ...known
+    ...overrides
   }
 }
 
 /** Endpoints of the shards that this instance owns. */
 export class EndpointsDb {
   private readonly endpoints = new Map<EndpointId, LedgerEndpoint>()
-  /** Where each task runs or may run; a task has at most one run at a time. */
+  /** The run of each task. A task should have one at a time; of several, the run added first stays here. */
   private readonly byTask = new Map<TaskName, LedgerRun>()
 
-  /** @returns the endpoint, if it belongs to an owned shard */
+  /** Returns the endpoint if it belongs to an owned shard. */
   get (id: EndpointId): LedgerEndpoint | undefined {
     return this.endpoints.get(id)
   }
 
-  /** @returns all endpoints of owned shards */
   all (): IterableIterator<LedgerEndpoint> {
     return this.endpoints.values()
   }
 
-  /** Adds an endpoint about which nothing is known but its report. */
+  /** Adds an endpoint of which only the report is known. */
   add (report: EndpointReport, now: Ms): LedgerEndpoint {
     const endpoint: LedgerEndpoint = {
       id: report.id,
@@ -102,7 +99,7 @@
     return endpoint
   }
 
-  /** Forgets an endpoint and its runs. */
+  /** Removes an endpoint with its runs. */
   remove (id: EndpointId): void {
     const endpoint = this.endpoints.get(id)
     if (endpoint === undefined) return
@@ -110,38 +107,41 @@
     this.endpoints.delete(id)
   }
 
-  /** Adds a run; it takes room from now on. */
+  /** Adds a run, which takes up room from now on. */
   addRun (endpoint: LedgerEndpoint, run: LedgerRun): void {
     endpoint.runs.set(run.task, run)
     endpoint.free = undefined
     if (!this.byTask.has(run.task)) this.byTask.set(run.task, run)
   }
 
-  /** Frees the room of a run. */
+  /** Removes a run and frees its room. */
   removeRun (endpoint: LedgerEndpoint, run: LedgerRun): void {
     endpoint.runs.delete(run.task)
     endpoint.free = undefined
     if (this.byTask.get(run.task) === run) this.byTask.delete(run.task)
   }
 
-  /** @returns the run of a task, if there may be one */
+  /** Returns the run of a task that is or may be at work. */
   runOf (task: TaskName): LedgerRun | undefined {
     return this.byTask.get(task)
   }
 }
 
 /**
- * Estimates an endpoint's clock.
- * @param endpoint - the endpoint; its clock must have been seen
+ * Estimates the present value of an endpoint's clock.
+ * @param endpoint - the endpoint, which must have reported its clock before
  * @param now - this instance's time
- * @returns the clock's value now, a little behind the true one
+ * @returns a value slightly behind the true one, since the answer that carried the clock took time to arrive
  */
 export function endpointClock (endpoint: LedgerEndpoint, now: Ms): EndpointClockMs {
   return Math.floor(now + (endpoint.clockOffset ?? 0)) as EndpointClockMs
 }
 
-/** @returns the latest time at which a lease that ends at `until` may still run */
-export function horizonOf (endpoint: LedgerEndpoint, until: EndpointClockMs, now: Ms, drift: number, slack: Ms): Ms {
-  const left = Math.max(0, until - endpointClock(endpoint, now))
-  return ms(now + left * (1 + drift) + slack)
+/**
+ * Returns the latest time on this instance's clock at which a lease that ends at `until` on the endpoint's clock may still
+ * be in force.
+ */
+export function latestLeaseEnd (endpoint: LedgerEndpoint, until: EndpointClockMs, now: Ms, drift: number, slack: Ms): Ms {
+  const remainingMs = Math.max(0, until - endpointClock(endpoint, now))
+  return ms(now + remainingMs * (1 + drift) + slack)
 }
--- a/packages/core/src/endpoints/endpointsDecider.spec.ts
+++ b/packages/core/src/endpoints/endpointsDecider.spec.ts
@@ -22,7 +22,7 @@
   bornAt: 5
 }
 
-class Recorder implements RunListener {
+class RecordingListener implements RunListener {
   readonly events: string[] = []
   runStarted (run: LedgerRun): void {
     this.events.push(`started ${run.run}`)
@@ -51,26 +51,26 @@
   }
 }
 
-function setUp (): { ctx: ShardContext, ledger: EndpointsDecider, seen: Recorder, tokens: { value: number } } {
+function setUp (): { ctx: ShardContext, ledger: EndpointsDecider, listener: RecordingListener, tokens: { value: number } } {
   const ctx: ShardContext = { self: { instance: 'i' as InstanceId, incarnation: 1, failureDomain: 'd' as FailureDomain, address: 'i', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(1000) }
-  const seen = new Recorder()
+  const listener = new RecordingListener()
   const tokens = { value: 7 }
-  return { ctx, seen, tokens, ledger: new EndpointsDecider(ctx, () => tokens.value as FencingToken, seen) }
+  return { ctx, listener, tokens, ledger: new EndpointsDecider(ctx, () => tokens.value as FencingToken, listener) }
 }
 
-type Of<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
+type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
-function taken<T extends ShardEffect['type']> (ctx: ShardContext, type: T): Of<T>[] {
-  return ctx.out.take().filter((effect): effect is Of<T> => effect.type === type)
+function takeEffects<T extends ShardEffect['type']> (ctx: ShardContext, type: T): EffectOf<T>[] {
+  return ctx.out.take().filter((effect): effect is EffectOf<T> => effect.type === type)
 }
 
 function listing (clock: number, running: readonly ListedRun[] = [], ended: readonly ListedEnd[] = [], bornAt = 5): EndpointListing {
   return { clock: clock as EndpointClockMs, bornAt, running, ended }
 }
 
-/** Answers the hold that was sent last. */
+/** Answers the latest hold with a listing. */
 function answerHold (ctx: ShardContext, ledger: EndpointsDecider, answer: EndpointListing): void {
-  const hold = taken(ctx, 'hold').at(-1)
+  const hold = takeEffects(ctx, 'hold').at(-1)
   ledger.holdOutcome(ID, hold?.orderId ?? 0, { type: 'listed', listing: answer })
 }
 
@@ -80,8 +80,8 @@
   return endpoint
 }
 
-describe('the ledger of endpoints', () => {
-  it('uses an endpoint only after it answered under the token', () => {
+describe('EndpointsDecider, the ledger of endpoints', () => {
+  it('uses an endpoint only after it has answered under the fencing token', () => {
     const { ctx, ledger } = setUp()
     ledger.adopt([REPORT])
     expect(ledger.usable(endpointOf(ledger))).to.equal(false)
@@ -89,8 +89,8 @@
     expect(ledger.usable(endpointOf(ledger))).to.equal(true)
   })
 
-  it('keeps the room of a start without an answer until the start can no longer take effect', () => {
-    const { ctx, ledger, seen } = setUp()
+  it('keeps the room of an unanswered start until that start can no longer take effect', () => {
+    const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     const run = ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
@@ -100,30 +100,30 @@
     }
     expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(18_000)
     answerHold(ctx, ledger, listing(run.notAfter))
-    expect(seen.events).to.deep.equal([])
+    expect(listener.events).to.deep.equal([])
     ctx.now = ms(ctx.now + 10)
     answerHold(ctx, ledger, listing(run.notAfter + 1))
-    expect(seen.events).to.deep.equal(['rejected 1 neverArrived'])
+    expect(listener.events).to.deep.equal(['rejected 1 neverArrived'])
     expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(32_000)
   })
 
-  it('goes on with what runs at an endpoint that is no longer listed, and gives it nothing more', () => {
-    const { ctx, ledger, seen } = setUp()
+  it('lets runs finish at an endpoint that is no longer listed, and gives it no more work', () => {
+    const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     const run = ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
     ledger.startOutcome(ID, run.orderId, { type: 'started', clock: 510 as EndpointClockMs })
     ledger.forget(ID)
-    expect(seen.events).to.deep.equal(['started 1'])
+    expect(listener.events).to.deep.equal(['started 1'])
     expect(ledger.usable(endpointOf(ledger))).to.equal(false)
     ctx.now = ms(ctx.now + 100)
     answerHold(ctx, ledger, listing(600, [], [{ sequence: 1, task: TASK, run: 1, how: 'done' }]))
     ledger.tick()
-    expect(seen.events).to.deep.equal(['started 1', 'done 1'])
+    expect(listener.events).to.deep.equal(['started 1', 'done 1'])
     expect(ledger.db.get(ID)).to.equal(undefined)
   })
 
-  it('uses an endpoint again that is listed again', () => {
+  it('uses an unlisted endpoint again once the store lists it again', () => {
     const { ctx, ledger } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
@@ -133,11 +133,11 @@
     expect(ledger.usable(endpointOf(ledger))).to.equal(true)
   })
 
-  it('gives nothing to an endpoint with a found run of unknown size, also while that run is being stopped', () => {
-    const { ctx, ledger, seen } = setUp()
+  it('gives no work to an endpoint with a found run of unknown needs, even while that run is being stopped', () => {
+    const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500, [{ task: TASK, run: 3, percent: 10 }]))
-    expect(seen.events).to.deep.equal(['found 3'])
+    expect(listener.events).to.deep.equal(['found 3'])
     const run = ledger.db.runOf(TASK)
     if (run === undefined) throw new Error('run is missing')
     ledger.stop(run)
@@ -146,31 +146,31 @@
     expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(32_000)
   })
 
-  it('takes runs of a silent endpoint for lost only once their lease has run out', () => {
-    const { ctx, ledger, seen } = setUp()
+  it('reports the runs of an endpoint that does not answer as lost only after their leases have run out', () => {
+    const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     const run = ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
     ledger.startOutcome(ID, run.orderId, { type: 'started', clock: 500 as EndpointClockMs })
     const holdSentAt = ctx.now
-    for (let i = 0; i < 40 && seen.events.length < 2; i++) {
-      const hold = taken(ctx, 'hold').at(-1)
+    for (let i = 0; i < 40 && listener.events.length < 2; i++) {
+      const hold = takeEffects(ctx, 'hold').at(-1)
       ctx.now = ms(ctx.now + 100)
       if (hold !== undefined) ledger.holdOutcome(ID, hold.orderId, { type: 'silent' })
       ledger.tick()
     }
-    expect(seen.events).to.deep.equal(['started 1', 'lost 1'])
+    expect(listener.events).to.deep.equal(['started 1', 'lost 1'])
     expect(ctx.now - holdSentAt).to.be.greaterThan(SHARD_DEFAULTS.leaseMs)
   })
 
-  it('stops renewing leases at an endpoint that does not answer, so that they run out', () => {
+  it('stops renewing leases at an endpoint that does not answer, so that the leases run out', () => {
     const { ctx, ledger } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
     const extensions: (number | undefined)[] = []
     for (let i = 0; i < 12; i++) {
-      const hold = taken(ctx, 'hold').at(-1)
+      const hold = takeEffects(ctx, 'hold').at(-1)
       ctx.now = ms(ctx.now + 100)
       if (hold !== undefined) {
         extensions.push(hold.extendTo)
@@ -182,29 +182,29 @@
     expect(extensions.slice(2).every(extension => extension === undefined)).to.equal(true)
   })
 
-  it('forgets the runs of an endpoint that was born again, and waits while a start of the earlier life may arrive', () => {
-    const { ctx, ledger, seen } = setUp()
+  it('reports the runs of a restarted endpoint as lost, and places nothing there while a start sent to the earlier incarnation may arrive', () => {
+    const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
     answerHold(ctx, ledger, listing(3, [], [], 900))
-    expect(seen.events).to.deep.equal(['lost 1'])
+    expect(listener.events).to.deep.equal(['lost 1'])
     ledger.update([{ ...REPORT, bornAt: 900 }])
     expect(ledger.usable(endpointOf(ledger))).to.equal(false)
   })
 
-  it('takes a refused token for a lost shard only if it is the one in force', () => {
-    const { ctx, ledger, seen, tokens } = setUp()
+  it('reports a shard as superseded only when the refused token is the one in force', () => {
+    const { ctx, ledger, listener, tokens } = setUp()
     ledger.adopt([REPORT])
-    const hold = taken(ctx, 'hold').at(-1)
+    const hold = takeEffects(ctx, 'hold').at(-1)
     tokens.value = 8
     ledger.holdOutcome(ID, hold?.orderId ?? 0, { type: 'fenced' })
-    expect(seen.events).to.deep.equal([])
-    const next = taken(ctx, 'hold').at(-1)
+    expect(listener.events).to.deep.equal([])
+    const promptHold = takeEffects(ctx, 'hold').at(-1)
     ctx.now = ms(ctx.now + SHARD_DEFAULTS.idleLookMs)
     ledger.tick()
-    const again = next ?? taken(ctx, 'hold').at(-1)
-    ledger.holdOutcome(ID, again?.orderId ?? 0, { type: 'fenced' })
-    expect(seen.events).to.deep.equal(['superseded'])
+    const nextHold = promptHold ?? takeEffects(ctx, 'hold').at(-1)
+    ledger.holdOutcome(ID, nextHold?.orderId ?? 0, { type: 'fenced' })
+    expect(listener.events).to.deep.equal(['superseded'])
   })
 })
--- a/packages/core/src/endpoints/endpointsDecider.ts
+++ b/packages/core/src/endpoints/endpointsDecider.ts
@@ -1,6 +1,8 @@
 /**
- * Keeps the ledger of owned endpoints true: looks at each endpoint first, renews leases while work runs, learns of
- * ends, repeats orders without an answer, and keeps room taken for whatever may still take effect.
+ * Keeps the ledger of owned endpoints in step with the endpoints themselves. Before anything starts at an endpoint, the
+ * endpoint must answer a hold under the present fencing token. Holds then renew leases while runs are at work and report
+ * their ends. Orders without an answer are repeated, and their room stays taken as long as they may still take effect.
+ * Which job runs where is decided elsewhere; this module alone knows what may be running.
  */
 import type {
   EndpointClockMs,
@@ -19,45 +21,45 @@
 } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
-import { EndpointsDb, endpointClock, horizonOf, makeRun } from './endpointsDb.js'
+import { EndpointsDb, endpointClock, latestLeaseEnd, makeRun } from './endpointsDb.js'
 import type { LedgerEndpoint, LedgerRun, PendingHold, RejectionReason, RunListener } from './types.js'
 
-/** Holds without an answer in a row after which leases are no longer renewed, so that runs there surely lapse. */
+/** Consecutive holds without an answer after which leases are no longer renewed, so that runs there are certain to lapse. */
 const SILENT_HOLDS_MAX = 2
-/** Gap between two holds in which an end is still timed well enough to judge the endpoint's speed. */
-const SEAMLESS_MS = 15
-/** Start orders of one run before its room is only waited out. */
+/** Longest gap between two holds at which the time of an end is still exact enough to judge the endpoint's speed. */
+const END_TIME_GAP_MAX_MS = 15
+/** How often a start is sent; after that the owner waits until the start can no longer take effect. */
 const START_SENDS_MAX = 3
-/** Longest time after which an endpoint may carry out an order late (platform's figure). */
+/** Longest delay with which an endpoint may still carry out an order (stated by the platform). */
 const LATE_ORDER_MS = 12_000
 
-/** Says which token holds for a failure domain's endpoints; undefined when this instance does not own them. */
+/** Returns the fencing token in force for a failure domain's endpoints; undefined when this instance does not own them. */
 export type TokenOf = (failureDomain: FailureDomain) => FencingToken | undefined
 
-/** The ledger's decisions. */
+/** Decides which holds, starts and stops are sent to owned endpoints, and reports what becomes of their runs. */
 export class EndpointsDecider {
   readonly db = new EndpointsDb()
   private orderCounter = 0
 
   constructor (private readonly ctx: ShardContext, private readonly tokenOf: TokenOf, private readonly listener: RunListener) {}
 
-  /** Takes over the endpoints of a shard: each is looked at under the new token before anything starts there. */
+  /** Takes over the endpoints of a shard. Each must answer under the new token before anything starts there. */
   adopt (reports: readonly EndpointReport[]): void {
-    for (const report of reports) this.look(this.db.get(report.id) ?? this.db.add(report, this.ctx.now))
+    for (const report of reports) this.requireFreshAnswer(this.db.get(report.id) ?? this.db.add(report, this.ctx.now))
   }
 
-  /** Updates the reports of a shard's endpoints; adds new ones. */
+  /** Updates the reports of known endpoints and adds new endpoints. */
   update (reports: readonly EndpointReport[]): void {
     for (const report of reports) {
       const known = this.db.get(report.id)
-      if (known === undefined) this.look(this.db.add(report, this.ctx.now))
+      if (known === undefined) this.requireFreshAnswer(this.db.add(report, this.ctx.now))
       else Object.assign(known, { report, unlisted: false, free: undefined })
     }
   }
 
   /**
-   * Gives an endpoint that is no longer listed no more work. What runs there goes on while the endpoint answers; it is
-   * forgotten once nothing runs there.
+   * Marks an endpoint that the store no longer lists, so that it gets no more work. Its runs go on while it answers; it
+   * is removed once nothing runs there.
    */
   forget (id: EndpointId): void {
     const endpoint = this.db.get(id)
@@ -66,30 +68,33 @@
     this.removeUnlisted(endpoint)
   }
 
-  /** Forgets all endpoints of a shard without judging their runs; another instance owns them now. */
+  /** Removes all endpoints of a shard and reports nothing about their runs, which belong to another instance now. */
   release (failureDomain: FailureDomain): void {
     for (const endpoint of [...this.db.all()]) {
       if (endpoint.report.failureDomain === failureDomain) this.db.remove(endpoint.id)
     }
   }
 
-  /** Nothing starts at an endpoint until it has answered once more under the token. */
+  /** Requires a new answer under the present token from every endpoint before anything starts there. */
   lookAgain (): void {
-    for (const endpoint of this.db.all()) this.look(endpoint)
+    for (const endpoint of this.db.all()) this.requireFreshAnswer(endpoint)
   }
 
-  /** @returns true when the endpoint may be given work */
+  /**
+   * An endpoint may get work when it answers under the present token in the incarnation that the store lists, and is
+   * neither draining nor unlisted nor in quarantine.
+   */
   usable (endpoint: LedgerEndpoint): boolean {
     const { report, looked, silent, bornAt, quarantineUntil, unlisted } = endpoint
     return looked && silent === 0 && !report.draining && !unlisted && bornAt === report.bornAt && quarantineUntil <= this.ctx.now
   }
 
-  /** Starts a run. The caller has checked room and `usable`. */
+  /** Starts a run. The caller has checked that the run fits and that the endpoint is `usable`. */
   start (endpoint: LedgerEndpoint, task: TaskName, runNumber: number, spec: string, needs: Resources): LedgerRun {
     const run = makeRun(endpoint, task, runNumber, this.ctx.now, { needs, state: 'ordered', spec })
     this.db.addRun(endpoint, run)
     this.sendStart(endpoint, run)
-    if (endpoint.hold === undefined) this.renew(endpoint)
+    if (endpoint.hold === undefined) this.sendHold(endpoint)
     return run
   }
 
@@ -102,7 +107,7 @@
     this.sendStop(endpoint, run)
   }
 
-  /** Makes a found run one of ours. */
+  /** Assigns a found run to one of this owner's jobs, which knows its resource needs. */
   claim (run: LedgerRun, needs: Resources): void {
     run.needs = needs
     const endpoint = this.db.get(run.endpoint)
@@ -111,7 +116,7 @@
     this.ctx.out.count('shard.tasks.adopted')
   }
 
-  /** The jobs of all runs were dropped: whoever still wants one claims it again. */
+  /** Marks all runs as unclaimed after their jobs were dropped; a job that still needs a run claims it again. */
   disown (): void {
     for (const endpoint of this.db.all()) {
       for (const run of endpoint.runs.values()) {
@@ -122,50 +127,50 @@
     }
   }
 
-  /** Repeats orders without an answer, renews leases, notices endpoints that are lost. */
+  /** Repeats stops without an answer, sends holds that are due, and gives up runs whose leases have run out. */
   tick (): void {
     for (const endpoint of [...this.db.all()]) {
       this.removeUnlisted(endpoint)
-      for (const run of endpoint.runs.values()) this.tickRun(endpoint, run)
-      if (endpoint.silent > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leaseHorizon) this.loseRuns(endpoint)
-      if (endpoint.hold === undefined && this.ctx.now >= endpoint.nextLookAt) this.renew(endpoint)
+      for (const run of endpoint.runs.values()) this.resendStopIfDue(endpoint, run)
+      if (endpoint.silent > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leaseHorizon) this.reportRunsLost(endpoint)
+      if (endpoint.hold === undefined && this.ctx.now >= endpoint.nextLookAt) this.sendHold(endpoint)
     }
   }
 
-  /** Takes the outcome of a hold or look. */
+  /** Handles the outcome of a hold. */
   holdOutcome (id: EndpointId, orderId: number, outcome: HoldOutcome): void {
     const endpoint = this.db.get(id)
     if (endpoint === undefined || endpoint.hold?.orderId !== orderId) return
     const hold = endpoint.hold
     endpoint.hold = undefined
     if (outcome.type === 'listed') {
-      this.listed(endpoint, outcome.listing, hold)
-      this.continueHolding(endpoint)
+      this.applyListing(endpoint, outcome.listing, hold)
+      this.scheduleNextHold(endpoint)
       return
     }
     if (outcome.type === 'fenced') {
-      this.fenced(endpoint, hold.token)
-      this.continueHolding(endpoint)
+      this.tokenRefused(endpoint, hold.token)
+      this.scheduleNextHold(endpoint)
       return
     }
-    this.unanswered(endpoint, outcome.type)
+    this.holdFailed(endpoint, outcome.type)
   }
 
-  /** Takes the outcome of a start. */
+  /** Handles the outcome of a start. */
   startOutcome (id: EndpointId, orderId: number, outcome: TaskStartOutcome): void {
     const endpoint = this.db.get(id)
     const run = endpoint === undefined ? undefined : this.findOrdered(endpoint, orderId)
     if (endpoint === undefined || run === undefined) return
     switch (outcome.type) {
-      case 'started': return this.started(endpoint, run, outcome.clock)
+      case 'started': return this.startConfirmed(endpoint, run, outcome.clock)
       case 'oldRun':
       case 'noRoom':
       case 'invalid':
       case 'unhealthy':
-      case 'late': return this.rejected(endpoint, run, outcome.type)
+      case 'late': return this.startRejected(endpoint, run, outcome.type)
       case 'fenced':
-        this.fenced(endpoint, run.token)
-        return this.rejected(endpoint, run, 'fenced')
+        this.tokenRefused(endpoint, run.token)
+        return this.startRejected(endpoint, run, 'fenced')
       case 'silent':
       case 'otherLife':
       case 'refused':
@@ -175,11 +180,11 @@
     }
   }
 
-  /** Takes the outcome of a stop; a stop without an answer is sent again by `tick`. */
+  /** Handles the outcome of a stop. `tick` sends a stop again until the run has ended. */
   stopOutcome (id: EndpointId, _orderId: number, outcome: TaskStopOutcome): void {
     const endpoint = this.db.get(id)
     if (endpoint === undefined) return
-    if (outcome.type === 'stopping' && endpoint.hold === undefined) this.renew(endpoint)
+    if (outcome.type === 'stopping' && endpoint.hold === undefined) this.sendHold(endpoint)
   }
 
   private removeUnlisted (endpoint: LedgerEndpoint): void {
@@ -193,20 +198,20 @@
     return undefined
   }
 
-  private tickRun (endpoint: LedgerEndpoint, run: LedgerRun): void {
+  private resendStopIfDue (endpoint: LedgerEndpoint, run: LedgerRun): void {
     if (run.state !== 'stopping') return
     if (this.ctx.now - run.lastSentAt >= this.ctx.cfg.orderTimeoutMs && endpoint.silent < SILENT_HOLDS_MAX) this.sendStop(endpoint, run)
   }
 
-  private look (endpoint: LedgerEndpoint): void {
+  private requireFreshAnswer (endpoint: LedgerEndpoint): void {
     endpoint.looked = false
     endpoint.hold = undefined
     endpoint.silent = 0
-    this.renew(endpoint)
+    this.sendHold(endpoint)
   }
 
-  /** Sends a hold: with an extension while the endpoint answers and work runs, else a mere look. */
-  private renew (endpoint: LedgerEndpoint): void {
+  /** Sends a hold, which extends the leases while the endpoint answers and has runs; otherwise it only asks for the listing. */
+  private sendHold (endpoint: LedgerEndpoint): void {
     const { now, cfg } = this.ctx
     const token = this.tokenOf(endpoint.report.failureDomain)
     if (token === undefined) return
@@ -215,7 +220,7 @@
     if (extendTo !== undefined) this.extendHorizon(endpoint, extendTo)
     const waitMs = extend && endpoint.silent === 0 ? cfg.holdWaitMs : ms(0)
     const orderId = ++this.orderCounter
-    endpoint.hold = { orderId, token, sentAt: now, seamless: now - endpoint.answeredAt <= SEAMLESS_MS || endpoint.runs.size === 1 }
+    endpoint.hold = { orderId, token, sentAt: now, endTimeKnown: now - endpoint.answeredAt <= END_TIME_GAP_MAX_MS || endpoint.runs.size === 1 }
     this.ctx.out.count('shard.holds.sent')
     this.ctx.out.push({
       type: 'hold',
@@ -230,57 +235,57 @@
     })
   }
 
-  private continueHolding (endpoint: LedgerEndpoint): void {
-    if (endpoint.runs.size > 0) this.renew(endpoint)
+  private scheduleNextHold (endpoint: LedgerEndpoint): void {
+    if (endpoint.runs.size > 0) this.sendHold(endpoint)
     else endpoint.nextLookAt = ms(this.ctx.now + this.ctx.cfg.idleLookMs)
   }
 
-  private unanswered (endpoint: LedgerEndpoint, why: string): void {
+  private holdFailed (endpoint: LedgerEndpoint, why: string): void {
     const { out, now, cfg, self } = this.ctx
     out.count('shard.holds.silent')
     endpoint.silent++
     if (endpoint.silent === SILENT_HOLDS_MAX) {
       out.log('endpoint.silent', { endpoint: endpoint.id, failureDomain: endpoint.report.failureDomain, why, runs: endpoint.runs.size, lastAnswerAgeMs: Math.round(now - endpoint.answeredAt), owner: self.instance }, 'warn')
     }
-    if (endpoint.silent < SILENT_HOLDS_MAX) this.renew(endpoint)
+    if (endpoint.silent < SILENT_HOLDS_MAX) this.sendHold(endpoint)
     else endpoint.nextLookAt = ms(now + cfg.silentLookMs)
   }
 
-  private listed (endpoint: LedgerEndpoint, listing: EndpointListing, hold: PendingHold): void {
+  private applyListing (endpoint: LedgerEndpoint, listing: EndpointListing, hold: PendingHold): void {
     const { now, out } = this.ctx
-    if (endpoint.bornAt !== undefined && endpoint.bornAt !== listing.bornAt) this.reborn(endpoint, listing.bornAt)
+    if (endpoint.bornAt !== undefined && endpoint.bornAt !== listing.bornAt) this.endpointRestarted(endpoint, listing.bornAt)
     if (endpoint.silent >= SILENT_HOLDS_MAX) out.log('endpoint.answers', { endpoint: endpoint.id, silentMs: Math.round(now - endpoint.answeredAt) })
     endpoint.bornAt = listing.bornAt
     endpoint.clockOffset = listing.clock - now
     endpoint.silent = 0
     endpoint.answeredAt = now
-    this.takeEnds(endpoint, listing, hold.seamless)
-    this.takeRunning(endpoint, listing.running)
-    this.findMissing(endpoint, listing, hold.sentAt)
+    this.applyEnds(endpoint, listing, hold.endTimeKnown)
+    this.applyRunning(endpoint, listing.running)
+    this.resolveMissingRuns(endpoint, listing, hold.sentAt)
     endpoint.looked = true
     this.listener.roomChanged()
   }
 
-  private takeEnds (endpoint: LedgerEndpoint, listing: EndpointListing, seenAtOnce: boolean): void {
+  private applyEnds (endpoint: LedgerEndpoint, listing: EndpointListing, endTimeKnown: boolean): void {
     for (const end of listing.ended) {
       if (end.sequence <= endpoint.acknowledged) continue
       endpoint.acknowledged = end.sequence
       const run = endpoint.runs.get(end.task)
       if (run === undefined || run.run !== end.run) continue
       this.db.removeRun(endpoint, run)
-      this.listener.runEnded(run, end.how, seenAtOnce)
+      this.listener.runEnded(run, end.how, endTimeKnown)
     }
   }
 
-  private takeRunning (endpoint: LedgerEndpoint, running: readonly ListedRun[]): void {
+  private applyRunning (endpoint: LedgerEndpoint, running: readonly ListedRun[]): void {
     for (const row of running) {
       const run = endpoint.runs.get(row.task)
       if (run === undefined) this.found(endpoint, row)
-      else if (run.run === row.run) this.progressed(run, row.percent)
+      else if (run.run === row.run) this.applyProgress(run, row.percent)
     }
   }
 
-  private progressed (run: LedgerRun, percent: number): void {
+  private applyProgress (run: LedgerRun, percent: number): void {
     const { now } = this.ctx
     run.confirmed = true
     if (run.state === 'ordered') {
@@ -299,11 +304,14 @@
     this.listener.runFound(run)
   }
 
-  /** A run that a later list does not show has ended, or its start can no longer take effect. */
-  private findMissing (endpoint: LedgerEndpoint, listing: EndpointListing, sentAt: Ms): void {
-    const shown = new Set(listing.running.map(row => row.task))
+  /**
+   * Handles runs that the listing lacks: a run that had started is lost, and a start without an answer is rejected once it
+   * can no longer take effect. A hold sent before the run's latest order or start proves nothing about that run.
+   */
+  private resolveMissingRuns (endpoint: LedgerEndpoint, listing: EndpointListing, sentAt: Ms): void {
+    const listedTasks = new Set(listing.running.map(row => row.task))
     for (const run of [...endpoint.runs.values()]) {
-      if (shown.has(run.task)) continue
+      if (listedTasks.has(run.task)) continue
       if (run.state === 'ordered' || (run.state === 'stopping' && !run.confirmed)) {
         if (listing.clock <= run.notAfter || sentAt < run.lastSentAt) continue
         this.db.removeRun(endpoint, run)
@@ -315,17 +323,17 @@
     }
   }
 
-  private reborn (endpoint: LedgerEndpoint, bornAt: number): void {
+  private endpointRestarted (endpoint: LedgerEndpoint, bornAt: number): void {
     const { out, now } = this.ctx
     out.count('shard.endpoints.reborn')
     out.log('endpoint.reborn', { endpoint: endpoint.id, bornAt, before: endpoint.bornAt, runs: endpoint.runs.size }, 'warn')
-    const unresolved = [...endpoint.runs.values()].some(run => run.state === 'ordered')
-    if (unresolved) endpoint.quarantineUntil = ms(now + LATE_ORDER_MS)
+    const hasUnansweredStart = [...endpoint.runs.values()].some(run => run.state === 'ordered')
+    if (hasUnansweredStart) endpoint.quarantineUntil = ms(now + LATE_ORDER_MS)
     endpoint.acknowledged = 0
-    this.loseRuns(endpoint)
+    this.reportRunsLost(endpoint)
   }
 
-  private loseRuns (endpoint: LedgerEndpoint): void {
+  private reportRunsLost (endpoint: LedgerEndpoint): void {
     for (const run of [...endpoint.runs.values()]) {
       this.db.removeRun(endpoint, run)
       this.ctx.out.count('shard.tasks.lost')
@@ -364,7 +372,7 @@
     out.push({ type: 'stopTask', endpoint: endpoint.id, address: endpoint.report.address, orderId: run.orderId, token, task: run.task, run: run.run, timeoutMs: cfg.orderTimeoutMs })
   }
 
-  /** Gives a run's next order its number, to match the answer. */
+  /** Assigns an id to the run's next order, to match its answer. */
   private stampOrder (run: LedgerRun, token: FencingToken): void {
     run.token = token
     run.orderId = ++this.orderCounter
@@ -372,13 +380,13 @@
     run.lastSentAt = this.ctx.now
   }
 
-  /** Runs may live on until the given time of the endpoint's clock. */
+  /** Records that leases may now last until the given time on the endpoint's clock. */
   private extendHorizon (endpoint: LedgerEndpoint, until: EndpointClockMs): void {
     const { now, cfg } = this.ctx
-    endpoint.leaseHorizon = ms(Math.max(endpoint.leaseHorizon, horizonOf(endpoint, until, now, cfg.clockDrift, cfg.leaseSlackMs)))
+    endpoint.leaseHorizon = ms(Math.max(endpoint.leaseHorizon, latestLeaseEnd(endpoint, until, now, cfg.clockDrift, cfg.leaseSlackMs)))
   }
 
-  private started (endpoint: LedgerEndpoint, run: LedgerRun, clock: EndpointClockMs): void {
+  private startConfirmed (endpoint: LedgerEndpoint, run: LedgerRun, clock: EndpointClockMs): void {
     run.state = 'running'
     run.startedAt = this.ctx.now
     run.confirmed = true
@@ -386,7 +394,8 @@
     this.listener.runStarted(run)
   }
 
-  private rejected (endpoint: LedgerEndpoint, run: LedgerRun, reason: Exclude<RejectionReason, 'neverArrived'>): void {
+  /** After a repeated start, a rejection proves nothing about the earlier sends; their room is kept until they expire. */
+  private startRejected (endpoint: LedgerEndpoint, run: LedgerRun, reason: Exclude<RejectionReason, 'neverArrived'>): void {
     this.ctx.out.count('shard.tasks.startRejected')
     if (run.sends > 1) return
     this.db.removeRun(endpoint, run)
@@ -398,8 +407,8 @@
     if (run.sends < START_SENDS_MAX && endpoint.silent < SILENT_HOLDS_MAX) this.sendStart(endpoint, run)
   }
 
-  /** A refused order of a token that this instance has replaced itself says nothing. */
-  private fenced (endpoint: LedgerEndpoint, token: FencingToken): void {
+  /** Ignores the refusal of a token that this instance has itself replaced since; the shard may still be its own. */
+  private tokenRefused (endpoint: LedgerEndpoint, token: FencingToken): void {
     const { failureDomain } = endpoint.report
     if (this.tokenOf(failureDomain) === token) this.listener.superseded(failureDomain, token)
   }
--- a/packages/core/src/endpoints/types.ts
+++ b/packages/core/src/endpoints/types.ts
@@ -1,5 +1,7 @@
 /**
- * Types of the endpoint ledger: what an owner believes of each endpoint of its shards, and who learns of changes.
+ * Types of the endpoint ledger: the owner's view of each endpoint of its shards and of the runs there, and the interface
+ * through which changes of runs are reported. The ledger counts room for everything that may still take effect, so it can
+ * list runs that the endpoint itself has already ended or will never start.
  */
 import type {
   EndpointClockMs,
@@ -14,96 +16,99 @@
 } from '@cranberryyard/protocol'
 
 /**
- * A run as the ledger knows it. `ordered`: the start has no answer yet and may still take effect until `notAfter`.
- * `unclaimed`: found at the endpoint after a takeover; its size is unknown.
+ * State of a run in the ledger.
+ * `ordered`: the start was sent and not yet answered; it may still take effect until `notAfter`.
+ * `unclaimed`: the run was found at the endpoint after a takeover, and no job has claimed it; its resource needs are unknown.
  */
 export type RunState = 'ordered' | 'running' | 'stopping' | 'unclaimed'
 
-/** A run that takes room at an endpoint. */
+/** A run that takes up room at an endpoint. */
 export interface LedgerRun {
   readonly task: TaskName
   readonly run: number
   readonly endpoint: EndpointId
-  /** Unknown for a run that was found and never claimed; nothing else starts beside it. */
+  /** Undefined for a run that was found and never claimed; nothing else starts at the endpoint while it is there. */
   needs: Resources | undefined
   state: RunState
-  /** Text handed to the task; kept while the start may have to be sent again. */
+  /** Text handed to the task; kept because the start may have to be sent again. */
   readonly spec: string
-  /** Latest time at which any of the start orders can still take effect, on the endpoint's clock. */
+  /** Latest time, on the endpoint's clock, at which any of the start orders can still take effect. */
   notAfter: EndpointClockMs
   /** When the start was first sent. */
   readonly orderedAt: Ms
   /** When the endpoint confirmed the start, or when the run was found. */
   startedAt: Ms
-  /** The endpoint has confirmed the start or listed the run. */
+  /** True once the endpoint has confirmed the start or listed the run. */
   confirmed: boolean
-  /** Token of the latest order. */
+  /** Fencing token of the latest order. */
   token: FencingToken
   /** Order id of the latest start or stop, to match its answer. */
   orderId: number
+  /** How often the present order, a start or a stop, was sent. */
   sends: number
   lastSentAt: Ms
   percent: number
   percentAt: Ms
-  /** Progress when this owner found the run; undefined for a run that it started itself. */
+  /** Progress at the time at which this owner found the run; undefined for a run that it started itself. */
   readonly foundPercent: number | undefined
 }
 
-/** One hold that has not been answered. */
+/** A hold (a long poll that may renew leases) that the endpoint has not answered yet. */
 export interface PendingHold {
   readonly orderId: number
   readonly token: FencingToken
   readonly sentAt: Ms
-  /** The endpoint was being watched up to this hold, and the hold waits for an end. */
-  readonly seamless: boolean
+  /** The endpoint was observed without a gap up to this hold, which waits for an end; the end's time is therefore known. */
+  readonly endTimeKnown: boolean
 }
 
-/** What an owner believes of one endpoint. */
+/** The owner's view of one endpoint. */
 export interface LedgerEndpoint {
   readonly id: EndpointId
   report: EndpointReport
-  /** The endpoint answered under the present token; before that nothing may start there. */
+  /** The endpoint has answered under the present fencing token; before that nothing may start there. */
   looked: boolean
-  /** Life whose list was seen last. */
+  /** Incarnation of the endpoint (its start time) whose listing was seen last. */
   bornAt: number | undefined
   /** The endpoint's clock minus this instance's, at the latest answer. */
   clockOffset: number | undefined
   readonly runs: Map<TaskName, LedgerRun>
-  /** Highest end that was taken note of. */
+  /** Sequence number of the latest end that this owner has processed. */
   acknowledged: number
   hold: PendingHold | undefined
-  /** Holds without an answer in a row. */
+  /** Number of consecutive holds without an answer. */
   silent: number
   /** Time of the latest answer to a hold. */
   answeredAt: Ms
+  /** When the next hold is due if none is pending. */
   nextLookAt: Ms
-  /** Until then runs may live on without further holds. */
+  /** Latest time, on this instance's clock, up to which runs may keep running without further holds. */
   leaseHorizon: Ms
-  /** Starts of an earlier life that may still arrive; nothing is placed before this time. */
+  /** Nothing is placed before this time, because starts sent to an earlier incarnation may still arrive. */
   quarantineUntil: Ms
-  /** The store's list has not shown the endpoint for a while; it gets no more work. */
+  /** The store's list has left the endpoint out for a while; it gets no more work. */
   unlisted: boolean
-  /** Room left; undefined when it has to be counted again. */
+  /** Cached room left; undefined when it has to be computed again. */
   free: Resources | undefined
 }
 
-/** Why a run has not started and will not. */
+/** Why a run has not started and never will. */
 export type RejectionReason = 'oldRun' | 'late' | 'noRoom' | 'invalid' | 'unhealthy' | 'fenced' | 'neverArrived'
 
-/** Receives what becomes of runs. */
+/** Receives the changes of runs. */
 export interface RunListener {
   runStarted (run: LedgerRun): void
-  /** @param seenAtOnce - a hold was waiting at the endpoint when the run ended, so that its time is known */
-  runEnded (run: LedgerRun, how: RunEnd, seenAtOnce: boolean): void
-  /** The run has not started and will not. */
+  /** @param endTimeKnown - a hold was waiting at the endpoint when the run ended, so the time of the end is known */
+  runEnded (run: LedgerRun, how: RunEnd, endTimeKnown: boolean): void
+  /** The run has not started and never will. */
   runRejected (run: LedgerRun, reason: RejectionReason): void
-  /** The endpoint was lost and the run can no longer live. */
+  /** The run is gone without a reported end: its lease ran out, its endpoint restarted, or a later listing lacks it. */
   runLost (run: LedgerRun): void
   runProgressed (run: LedgerRun): void
-  /** A run of an earlier owner was found at an endpoint. */
+  /** The endpoint listed a run that the ledger did not contain, such as one of an earlier owner. */
   runFound (run: LedgerRun): void
   /** Room may have become free at the endpoint. */
   roomChanged (): void
-  /** An endpoint refused this owner's token. */
+  /** An endpoint refused this owner's fencing token, so another instance has taken over the shard. */
   superseded (failureDomain: FailureDomain, token: FencingToken): void
 }
