--- a/packages/core/src/intake/intakeDb.ts
+++ b/packages/core/src/intake/intakeDb.ts
@@ -1,10 +1,11 @@
 /**
- * State of the intake decision: jobs in flight, and outcomes kept for callers that send a job again.
+ * State of the intake decision: the jobs in flight at this front, and the calls that wait for each. A job is removed with
+ * its reply; no outcome is kept here. `IntakeDecider` makes all decisions.
  */
 import type { InstanceId, JobId } from '@cranberryyard/protocol'
 import type { FrontedJob } from './types.js'
 
-/** Jobs at their front. */
+/** The jobs for which this instance is the front, indexed by job and by call. */
 export class IntakeDb {
   readonly jobs = new Map<JobId, FrontedJob>()
   private readonly byCall = new Map<string, JobId>()
@@ -15,13 +16,12 @@
     this.byCall.set(callId, job.id)
   }
 
-  /** @returns the job that a call waits for */
+  /** Returns the job that a call waits for. */
   jobOfCall (callId: string): FrontedJob | undefined {
     const id = this.byCall.get(callId)
     return id === undefined ? undefined : this.jobs.get(id)
   }
 
-  /** Removes one call. */
   removeCall (callId: string): void {
     this.jobOfCall(callId)?.calls.delete(callId)
     this.byCall.delete(callId)
@@ -33,17 +33,17 @@
     this.jobs.delete(job.id)
   }
 
-  /** @returns owners that have jobs of this front */
+  /** Returns the owners that have jobs of this front. */
   owners (): Set<InstanceId> {
     const owners = new Set<InstanceId>()
-    for (const { where } of this.jobs.values()) {
-      if (where.type === 'atOwner') owners.add(where.owner)
+    for (const { location } of this.jobs.values()) {
+      if (location.type === 'atOwner') owners.add(location.owner)
     }
     return owners
   }
 
-  /** @returns jobs at an owner */
-  at (owner: InstanceId): FrontedJob[] {
-    return [...this.jobs.values()].filter(job => job.where.type === 'atOwner' && job.where.owner === owner)
+  /** Returns the jobs at an owner, but not those that wait for its successor. */
+  jobsAt (owner: InstanceId): FrontedJob[] {
+    return [...this.jobs.values()].filter(job => job.location.type === 'atOwner' && job.location.owner === owner)
   }
 }
--- a/packages/core/src/intake/intakeDecider.spec.ts
+++ b/packages/core/src/intake/intakeDecider.spec.ts
@@ -35,7 +35,7 @@
 
 const types = (messages: readonly ShardMessage[]): string[] => messages.map(message => message.type)
 
-describe('intake', () => {
+describe('IntakeDecider', () => {
   it('sends a job to the owner and passes its outcome on', () => {
     const { intake, sent, replies } = setUp()
     intake.submit('c1', 'h', '/q/a', job('a'), ms(1500))
@@ -44,7 +44,7 @@
     expect(replies()).to.deep.equal([{ type: 'ended', outcome: 'completed' }])
   })
 
-  it('refuses at once what has no queue or is not served', () => {
+  it('refuses at once jobs without a queue and jobs that need unsupported features', () => {
     const { intake, sent, replies } = setUp()
     intake.submit('c1', 'h', '/other/a', job('a'), ms(1500))
     intake.submit('c2', 'h', '/q/b', { ...job('b'), features: ['stored'] }, ms(1500))
@@ -63,7 +63,7 @@
     expect(replies().map(reply => reply.type)).to.deep.equal(['refused'])
   })
 
-  it('goes on with a job at the next owner of its shard, and gives it up as lost when there is none', () => {
+  it('resumes a job at the next owner of its shard, and reports it as lost when there is none', () => {
     const { ctx, intake, sessions, sent, replies } = setUp()
     intake.submit('c1', 'h', '/q/a', job('a', 2000), ms(9000))
     sessions.unreachable(OWNER)
@@ -98,7 +98,7 @@
     expect(replies().map(reply => reply.type)).to.deep.equal(['lost', 'refused'])
   })
 
-  it('joins a job that is sent twice and answers both calls', () => {
+  it('joins two calls with the same job and answers both', () => {
     const { intake, sent, replies } = setUp()
     intake.submit('c1', 'h', '/q/a', job('a'), ms(1500))
     intake.submit('c2', 'h', '/q/a', job('a'), ms(1500))
@@ -107,14 +107,14 @@
     expect(replies().length).to.equal(2)
   })
 
-  it('takes back a job whose caller left', () => {
+  it('cancels a job whose caller left', () => {
     const { intake, sent } = setUp()
     intake.submit('c1', 'h', '/q/a', job('a'), ms(1500))
     intake.callerLeft('c1')
     expect(types(sent)).to.deep.equal(['submit', 'cancelJob'])
   })
 
-  it('takes only jobs that end before a leaving process does', () => {
+  it('accepts only jobs that end before a leaving process does', () => {
     const { ctx, intake, sent, replies } = setUp()
     intake.leave()
     ctx.now = ms(ctx.now + 1700)
--- a/packages/core/src/intake/intakeDecider.ts
+++ b/packages/core/src/intake/intakeDecider.ts
@@ -1,7 +1,8 @@
 /**
- * Answers for the jobs that callers sent to this instance: finds their queue, picks the shard, follows the job when its
- * owner changes, and gives each call one reply. A job that may have run is never called refused.
- * Load it answers: a domain without room while others have some, and owners that are lost with jobs at work.
+ * Handles the jobs that callers sent to this instance: finds the queue, chooses the shard, resumes the job when the shard's
+ * owner changes, and gives each call one reply. A job that may have run is never reported as refused. Separate from
+ * execution, which runs at the shard's owner, so that a caller's job survives a lost owner, and so that a job can go to
+ * another failure domain while its own has no room.
  */
 import type { FailureDomain, InstanceId, JobId, JobOutcome, JobProgress, JobRequest, Ms, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -12,34 +13,34 @@
 import { IntakeDb } from './intakeDb.js'
 import type { FrontedJob } from './types.js'
 
-/** Wait elsewhere must be shorter by this much to leave the caller's own domain: a round trip between domains and back. */
+/** A job leaves this instance's domain only for a wait shorter by this much: a round trip between domains. */
 const REMOTE_PENALTY_MS = 15
-/** Share of room taken from which the own domain counts as full. */
-const FULL_SHARE = 0.97
-/** Estimates are too low by up to this factor; a leaving instance takes only what surely ends in time. */
-const LEAVING_SAFETY = 2
-/** Wait for room that a leaving instance allows for; callers leave what waits longer. */
+/** Share of busy room from which a domain counts as full. */
+const FULL_BUSY_SHARE = 0.97
+/** Run times exceed estimates by up to this factor; a leaving instance takes only jobs that are certain to end in time. */
+const LEAVING_ESTIMATE_FACTOR = 2
+/** Wait for room that a leaving instance allows for; callers abandon jobs that wait longer. */
 const LEAVING_WAIT_MS = 1000
-/** When callers had best come back to another instance. */
+/** Retry delay for callers that a leaving instance refuses; they should try another instance. */
 const LEAVING_RETRY_MS = ms(1000)
-/** How often a job is sent to an owner that does not know it. */
+/** How often a job is sent again to an owner that does not know it. */
 const RESENDS_MAX = 3
-/** When callers had best come back after a refusal for want of an owner or a desired state. */
+/** Retry delay after a refusal because there is no owner, no desired state or no queue. */
 const NO_OWNER_RETRY_MS = ms(1000)
-/** When callers had best come back with a job that this system does not serve. */
+/** Retry delay for a job that uses features which this system does not support. */
 const UNSUPPORTED_RETRY_MS = ms(60_000)
 
-/** Delivers a message to an owner, which may be this instance. */
+/** Delivers a message to an owner, which may be this instance itself. */
 export type Deliver = (to: InstanceId, message: ShardMessage) => void
 
-/** The intake decision. */
+/** Decides where the jobs of this front go and what their callers are answered. */
 export class IntakeDecider {
   readonly db = new IntakeDb()
   private leavingSince: Ms | undefined
 
   constructor (private readonly ctx: ShardContext, private readonly desired: DesiredDecider, private readonly sessions: SessionsDecider, private readonly deliver: Deliver) {}
 
-  /** Takes a job from a caller. */
+  /** Accepts a job from a caller, joins it to the same job already in flight, or refuses it. */
   submit (callId: string, host: string, path: string, request: JobRequest, deadlineMs: Ms): void {
     const { now, cfg, out } = this.ctx
     out.count('shard.jobs.received')
@@ -64,7 +65,7 @@
       calls: new Set(),
       declinedBy: new Set(),
       retryAfterMs: NO_OWNER_RETRY_MS,
-      where: { type: 'unplaced', since: now },
+      location: { type: 'unplaced', since: now },
       done: [],
       attempt: 0,
       resends: 0,
@@ -75,43 +76,46 @@
     this.place(job)
   }
 
-  /** A caller's connection ended before its reply. */
+  /** Called when a caller's connection ended before its reply; cancels the job once no call waits for it. */
   callerLeft (callId: string): void {
     const job = this.db.jobOfCall(callId)
     this.db.removeCall(callId)
     if (job === undefined || job.calls.size > 0) return
     this.ctx.out.log('job.callerLeft', { job: job.id, ageMs: Math.round(this.ctx.now - job.receivedAt) })
-    this.withdraw(job)
+    this.cancelAtOwner(job)
     this.db.remove(job)
   }
 
-  /** An owner reports how a job ended. */
+  /** Called when an owner reports the outcome of a job. */
   ended (id: JobId, outcome: JobOutcome): void {
     const job = this.db.jobs.get(id)
-    if (job !== undefined) this.finish(job, { type: 'ended', outcome })
+    if (job !== undefined) this.answerCallers(job, { type: 'ended', outcome })
   }
 
-  /** An owner has not started the job and will not. */
+  /**
+   * Called when an owner has not started the job and will not. A decline of an earlier copy is ignored, since the latest
+   * copy may have started.
+   */
   declined (id: JobId, from: InstanceId, attempt: number, retryAfterMs: Ms): void {
     const job = this.db.jobs.get(id)
-    if (job?.where.type !== 'atOwner' || job.where.owner !== from || job.attempt !== attempt) return
-    job.declinedBy.add(job.where.failureDomain)
+    if (job?.location.type !== 'atOwner' || job.location.owner !== from || job.attempt !== attempt) return
+    job.declinedBy.add(job.location.failureDomain)
     job.retryAfterMs = retryAfterMs
-    job.where = { type: 'unplaced', since: this.ctx.now }
+    job.location = { type: 'unplaced', since: this.ctx.now }
     this.place(job)
   }
 
-  /** An owner does not know the job, or no longer owns the shard. */
+  /** Called when an owner does not know the job or no longer owns the shard. */
   unknownAt (id: JobId, from: InstanceId, failureDomain: FailureDomain): void {
     const job = this.db.jobs.get(id)
-    if (job?.where.type !== 'atOwner' || job.where.owner !== from || job.where.failureDomain !== failureDomain) return
+    if (job?.location.type !== 'atOwner' || job.location.owner !== from || job.location.failureDomain !== failureDomain) return
     this.detach(job, failureDomain)
     if (this.sessions.ownerOf(failureDomain) !== from || job.resends >= RESENDS_MAX) return
     job.resends++
     this.resume(job, failureDomain, from)
   }
 
-  /** A shard's owner leaves and tells what is done of the jobs that go on under its successor. */
+  /** Called when a shard's owner leaves and reports which tasks are done of the jobs that its successor resumes. */
   moved (from: InstanceId, failureDomain: FailureDomain, progress: readonly JobProgress[]): void {
     const shard = this.sessions.db.shards.get(failureDomain)
     if (shard?.owner === from) shard.disowned = true
@@ -119,47 +123,47 @@
       const job = this.db.jobs.get(jobId)
       if (job !== undefined) job.done = [...job.done, ...done]
     }
-    for (const job of this.db.at(from)) {
-      if (job.where.type === 'atOwner' && job.where.failureDomain === failureDomain) this.detach(job, failureDomain)
+    for (const job of this.db.jobsAt(from)) {
+      if (job.location.type === 'atOwner' && job.location.failureDomain === failureDomain) this.detach(job, failureDomain)
     }
   }
 
-  /** An owner is lost; its jobs wait for the next owner of their shard. */
+  /** Called when an owner is lost; its jobs wait for the next owner of their shard. */
   ownerLost (owner: InstanceId): void {
-    for (const job of this.db.at(owner)) {
-      if (job.where.type === 'atOwner') this.detach(job, job.where.failureDomain)
+    for (const job of this.db.jobsAt(owner)) {
+      if (job.location.type === 'atOwner') this.detach(job, job.location.failureDomain)
     }
   }
 
-  /** The connection to an owner was replaced; what was on its way may be lost. */
+  /** Called when the connection to an owner was replaced; sends its jobs again, since messages in transit may be lost. */
   linkReplaced (owner: InstanceId): void {
-    for (const job of this.db.at(owner)) {
-      if (job.where.type === 'atOwner') this.resume(job, job.where.failureDomain, owner)
+    for (const job of this.db.jobsAt(owner)) {
+      if (job.location.type === 'atOwner') this.resume(job, job.location.failureDomain, owner)
     }
   }
 
-  /** A shard has an owner: jobs that waited for one go on. */
+  /** Called when a shard has an owner; jobs that waited for one are sent to it. */
   ownerKnown (failureDomain: FailureDomain): void {
     const owner = this.sessions.ownerOf(failureDomain)
     if (owner === undefined) return
     for (const job of this.db.jobs.values()) {
-      if (job.where.type === 'detached' && job.where.failureDomain === failureDomain) this.resume(job, failureDomain, owner)
-      else if (job.where.type === 'unplaced') this.place(job)
+      if (job.location.type === 'detached' && job.location.failureDomain === failureDomain) this.resume(job, failureDomain, owner)
+      else if (job.location.type === 'unplaced') this.place(job)
     }
   }
 
-  /** Gives up what has waited too long, asks after jobs that take long. */
+  /** Gives up jobs that have waited too long, and confirms the others to their owners. */
   tick (): void {
     for (const job of [...this.db.jobs.values()]) this.tickJob(job)
-    this.askAfterJobs()
+    this.checkJobsAtOwners()
   }
 
-  /** From now on only jobs are taken that end before this process does. */
+  /** From now on, accepts only jobs that end before this process does. */
   leave (): void {
     this.leavingSince = this.ctx.now
   }
 
-  /** Gives up every job: this process stood still, and callers may have sent them elsewhere meanwhile. */
+  /** Gives up every job after a pause of this process, during which callers may have sent them elsewhere. */
   loseAll (): void {
     for (const job of [...this.db.jobs.values()]) this.giveUp(job)
   }
@@ -167,8 +171,8 @@
   private endsBeforeLeaving (request: JobRequest): boolean {
     const { now, cfg } = this.ctx
     if (this.leavingSince === undefined) return true
-    const passed = now - this.leavingSince
-    return passed <= cfg.leaveTakeMs && passed + LEAVING_WAIT_MS + chainOf(request.steps, LEAVING_SAFETY) <= cfg.leaveMs
+    const elapsedMs = now - this.leavingSince
+    return elapsedMs <= cfg.leaveTakeMs && elapsedMs + LEAVING_WAIT_MS + chainOf(request.steps, LEAVING_ESTIMATE_FACTOR) <= cfg.leaveMs
   }
 
   private place (job: FrontedJob): void {
@@ -177,10 +181,10 @@
       this.send(job, target.failureDomain, target.owner, false)
       return
     }
-    if (job.declinedBy.size > 0) this.finish(job, { type: 'refused', cause: 'overloaded', retryAfterMs: job.retryAfterMs })
+    if (job.declinedBy.size > 0) this.answerCallers(job, { type: 'refused', cause: 'overloaded', retryAfterMs: job.retryAfterMs })
   }
 
-  /** The own domain first, unless it has no room and another one has; declined domains are out. */
+  /** Prefers this instance's own domain unless it has no room and another one has; skips domains that declined the job. */
   private chooseShard (job: FrontedJob): { readonly failureDomain: FailureDomain, readonly owner: InstanceId } | undefined {
     const { self } = this.ctx
     let best: { readonly failureDomain: FailureDomain, readonly owner: InstanceId } | undefined
@@ -188,8 +192,8 @@
     for (const shard of this.sessions.db.shards.values()) {
       const owner = this.sessions.ownerOf(shard.failureDomain)
       if (owner === undefined || job.declinedBy.has(shard.failureDomain)) continue
-      const home = shard.failureDomain === self.failureDomain
-      const cost = shard.load.waitMs + (shard.load.busyShare >= FULL_SHARE ? REMOTE_PENALTY_MS : 0) + (home ? 0 : REMOTE_PENALTY_MS + shard.load.busyShare)
+      const isLocal = shard.failureDomain === self.failureDomain
+      const cost = shard.load.waitMs + (shard.load.busyShare >= FULL_BUSY_SHARE ? REMOTE_PENALTY_MS : 0) + (isLocal ? 0 : REMOTE_PENALTY_MS + shard.load.busyShare)
       if (cost < bestCost) {
         best = { failureDomain: shard.failureDomain, owner }
         bestCost = cost
@@ -204,7 +208,7 @@
 
   private send (job: FrontedJob, failureDomain: FailureDomain, owner: InstanceId, resumed: boolean): void {
     const { now, self } = this.ctx
-    job.where = { type: 'atOwner', failureDomain, owner, since: now }
+    job.location = { type: 'atOwner', failureDomain, owner, since: now }
     job.checkedAt = now
     job.attempt++
     const order = { job: job.job, queue: job.queue, attempt: job.attempt, ageMs: ms(now - job.receivedAt), remainingMs: ms(job.callerUntil - now), resumed, done: job.done }
@@ -212,55 +216,55 @@
   }
 
   private detach (job: FrontedJob, failureDomain: FailureDomain): void {
-    const lastOwner = job.where.type === 'atOwner' ? job.where.owner : undefined
-    job.where = { type: 'detached', failureDomain, lastOwner, since: this.ctx.now }
+    const lastOwner = job.location.type === 'atOwner' ? job.location.owner : undefined
+    job.location = { type: 'detached', failureDomain, lastOwner, since: this.ctx.now }
   }
 
   private tickJob (job: FrontedJob): void {
-    const { where } = job
+    const { location } = job
     if (this.ctx.now > job.callerUntil) {
       this.giveUp(job)
-    } else if (where.type === 'detached') {
-      if (this.sessions.ownerOf(where.failureDomain) !== undefined) this.ownerKnown(where.failureDomain)
+    } else if (location.type === 'detached') {
+      if (this.sessions.ownerOf(location.failureDomain) !== undefined) this.ownerKnown(location.failureDomain)
       else if (this.waitsTooLong(job)) this.giveUp(job)
-    } else if (where.type === 'unplaced') {
+    } else if (location.type === 'unplaced') {
       this.place(job)
-      if (this.db.jobs.has(job.id) && job.where.type === 'unplaced' && this.waitsTooLong(job)) this.finish(job, { type: 'refused', cause: 'noOwner', retryAfterMs: NO_OWNER_RETRY_MS })
+      if (this.db.jobs.has(job.id) && job.location.type === 'unplaced' && this.waitsTooLong(job)) this.answerCallers(job, { type: 'refused', cause: 'noOwner', retryAfterMs: NO_OWNER_RETRY_MS })
     }
   }
 
-  /** A job without an owner waits for one as long as owners need to change, and while its answer is of use. */
+  /** A job without an owner waits as long as a change of owner takes, but no longer than its answer is of use. */
   private waitsTooLong (job: FrontedJob): boolean {
-    return this.ctx.now > Math.min(job.where.since + this.ctx.cfg.ownerWaitMs, job.usefulUntil)
+    return this.ctx.now > Math.min(job.location.since + this.ctx.cfg.ownerWaitMs, job.usefulUntil)
   }
 
-  private askAfterJobs (): void {
+  private checkJobsAtOwners (): void {
     const { now } = this.ctx
-    const questions = new Map<string, { readonly owner: InstanceId, readonly failureDomain: FailureDomain, readonly ids: JobId[] }>()
+    const checks = new Map<string, { readonly owner: InstanceId, readonly failureDomain: FailureDomain, readonly ids: JobId[] }>()
     for (const job of this.db.jobs.values()) {
-      if (job.where.type !== 'atOwner' || now - job.checkedAt < this.ctx.cfg.confirmMs) continue
+      if (job.location.type !== 'atOwner' || now - job.checkedAt < this.ctx.cfg.confirmMs) continue
       job.checkedAt = now
-      const { owner, failureDomain } = job.where
+      const { owner, failureDomain } = job.location
       const key = `${owner} ${failureDomain}`
-      const question = questions.get(key) ?? { owner, failureDomain, ids: [] }
-      question.ids.push(job.id)
-      questions.set(key, question)
+      const check = checks.get(key) ?? { owner, failureDomain, ids: [] }
+      check.ids.push(job.id)
+      checks.set(key, check)
     }
-    for (const { owner, failureDomain, ids } of questions.values()) this.deliver(owner, { type: 'checkJobs', failureDomain, jobIds: ids })
+    for (const { owner, failureDomain, ids } of checks.values()) this.deliver(owner, { type: 'checkJobs', failureDomain, jobIds: ids })
   }
 
   private giveUp (job: FrontedJob): void {
-    this.withdraw(job)
-    this.finish(job, { type: 'lost' })
+    this.cancelAtOwner(job)
+    this.answerCallers(job, { type: 'lost' })
   }
 
-  private withdraw (job: FrontedJob): void {
-    const { where } = job
-    const owner = where.type === 'atOwner' ? where.owner : where.type === 'detached' ? where.lastOwner : undefined
+  private cancelAtOwner (job: FrontedJob): void {
+    const { location } = job
+    const owner = location.type === 'atOwner' ? location.owner : location.type === 'detached' ? location.lastOwner : undefined
     if (owner !== undefined) this.deliver(owner, { type: 'cancelJob', jobId: job.id })
   }
 
-  private finish (job: FrontedJob, reply: CallerReply): void {
+  private answerCallers (job: FrontedJob, reply: CallerReply): void {
     const { out, now } = this.ctx
     const tookMs = now - job.receivedAt
     for (const callId of job.calls) out.push({ type: 'reply', callId, reply })
@@ -275,9 +279,9 @@
       outcome: reply.type === 'ended' ? reply.outcome : undefined,
       cause: reply.type === 'refused' ? reply.cause : undefined,
       tookMs: Math.round(tookMs),
-      where: job.where.type,
-      owner: job.where.type === 'atOwner' ? job.where.owner : undefined,
-      failureDomain: job.where.type === 'unplaced' ? undefined : job.where.failureDomain,
+      where: job.location.type,
+      owner: job.location.type === 'atOwner' ? job.location.owner : undefined,
+      failureDomain: job.location.type === 'unplaced' ? undefined : job.location.failureDomain,
       declinedBy: job.declinedBy.size > 0 ? [...job.declinedBy].join() : undefined
     })
   }
--- a/packages/core/src/intake/types.ts
+++ b/packages/core/src/intake/types.ts
@@ -1,37 +1,39 @@
 /**
- * Types of the intake decision: jobs at the instance that answers their callers.
+ * Types of the intake decision: the jobs of an instance that acts as their front, which is the instance that received them
+ * from callers and answers these. The owner of a shard keeps its own record of each job; these types hold the front's.
  */
 import type { DispatchOrder, FailureDomain, InstanceId, JobId, Ms, QueueTerms, JobRequest } from '@cranberryyard/protocol'
 
-/** Where a job is: at an owner, or waiting until some owner can take it. */
-export type Whereabouts =
+/** Where a job is: at an owner, or waiting for one. */
+export type JobLocation =
   | { readonly type: 'atOwner', readonly failureDomain: FailureDomain, readonly owner: InstanceId, readonly since: Ms }
-  /** Its runs belong to the shard; only that shard's next owner may go on with it. */
+  /** The owner is gone. The job may have runs in the shard, so only that shard's next owner may resume it. */
   | { readonly type: 'detached', readonly failureDomain: FailureDomain, readonly lastOwner: InstanceId | undefined, readonly since: Ms }
-  /** No owner has ever had it. */
+  /** No owner has the job, and none that had it has started it; any owner may get it. */
   | { readonly type: 'unplaced', readonly since: Ms }
 
-/** A job that this instance answers for. */
+/** A job for which this instance is the front. */
 export interface FrontedJob {
   readonly id: JobId
   readonly job: JobRequest
   readonly queue: QueueTerms
   readonly receivedAt: Ms
-  /** The caller waits no longer than this. */
+  /** The caller's deadline. */
   readonly callerUntil: Ms
-  /** An answer after this is of no use to the caller. */
+  /** Time after which an answer is of no use to the caller. */
   readonly usefulUntil: Ms
-  /** Calls that wait for the outcome; the same job may have been sent twice. */
+  /** Ids of the calls that wait for the outcome; several when a caller has sent the same job more than once. */
   readonly calls: Set<string>
-  /** Domains whose owners declined it. */
+  /** Failure domains whose owners have declined the job. */
   readonly declinedBy: Set<FailureDomain>
   retryAfterMs: Ms
-  where: Whereabouts
+  location: JobLocation
   /** Tasks that an earlier owner reported as done. */
   done: DispatchOrder['done']
-  /** Number of the copy that was sent last, to any owner. */
+  /** Number of the latest copy sent, counted over all owners. */
   attempt: number
-  /** How often it was sent to the same owner again. */
+  /** How often the job was sent again to an owner that did not know it. */
   resends: number
+  /** When the job was last sent to its owner, or the owner was last asked about it. */
   checkedAt: Ms
 }
