--- a/packages/core/src/routing/routingDb.ts
+++ b/packages/core/src/routing/routingDb.ts
@@ -1,18 +1,23 @@
 /**
- * Endpoints known from the platform's list, with this instance's own use of them.
+ * Endpoints known from the platform's list, with the resources that tasks of this instance use on them. What other
+ * instances run there is not known; an endpoint that is full refuses starts.
  */
 import type { EndpointId, EndpointInfo } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { EndpointState, TaskSize } from './types.js'
 
-/** First pause after an endpoint refused a start as busy. */
+/** Pause after the first refusal of an endpoint that is busy; doubles with each further refusal. */
 export const BUSY_PAUSE_MIN_MS = 20
 
 /** State of the routing decision. */
 export class RoutingDb {
   private readonly endpoints = new Map<EndpointId, EndpointState>()
 
-  /** Takes over the platform's list. Endpoints that vanished keep their record while tasks run on them. */
+  /**
+   * Adopts the platform's list. An endpoint that is no longer listed counts as leaving and keeps its record while
+   * tasks run on it.
+   * @returns endpoints with a record that the list no longer has
+   */
   replace (list: readonly EndpointInfo[]): EndpointId[] {
     const listed = new Set(list.map(e => e.id))
     for (const info of list) this.update(info)
@@ -46,17 +51,15 @@
     })
   }
 
-  /** @returns an endpoint's state */
   get (endpoint: EndpointId): EndpointState | undefined {
     return this.endpoints.get(endpoint)
   }
 
-  /** @returns all endpoints */
   all (): EndpointState[] {
     return [...this.endpoints.values()]
   }
 
-  /** Books a task on an endpoint. */
+  /** Adds a task to the used resources of an endpoint. */
   occupy (state: EndpointState, size: TaskSize): void {
     state.running++
     state.usedCores += size.cores
@@ -64,7 +67,7 @@
     state.usedAccelerators += size.accelerators
   }
 
-  /** Takes a task off an endpoint. */
+  /** Removes a task from the used resources of an endpoint. */
   vacate (state: EndpointState, size: TaskSize): void {
     state.running--
     state.usedCores -= size.cores
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -1,31 +1,35 @@
 /**
- * Types of the routing decision.
+ * Types of the routing decision: endpoints with the use this instance makes of them, and where jobs are scheduled.
  */
 import type { EndpointInfo, InstanceId, Ms } from '@cranberryyard/protocol'
 
-/** Declared size of a task. */
+/** Resources that a task declares, or that an endpoint has. */
 export interface TaskSize {
   readonly cores: number
   readonly memoryMb: number
   readonly accelerators: number
 }
 
-/** An endpoint with what this instance runs on it. */
+/** An endpoint, the resources it has, and those that tasks of this instance use on it. */
 export interface EndpointState extends TaskSize {
   info: EndpointInfo
   running: number
   usedCores: number
   usedMemoryMb: number
   usedAccelerators: number
-  /** No start is sent before this time, after a refusal. */
+  /** After a refusal no start is sent before this time. */
   pausedUntil: Ms
+  /** Length of the pause after the next refusal. */
   pauseMs: number
-  /** False once operators drain or stop it or the platform lists it as leaving. */
+  /** False while operators drain or stop the endpoint, or once the platform lists it as leaving. */
   acceptsWork: boolean
+  /**
+   * True when this instance may start tasks on it: always with one scheduler, else if the endpoint is assigned to it.
+   */
   ownedHere: boolean
 }
 
-/** Where a job is scheduled. */
+/** The instance that schedules a job. */
 export type Placement =
   | { readonly type: 'here' }
   | { readonly type: 'remote', readonly instance: InstanceId }
--- a/packages/core/src/scheduling/schedulingDecider.ts
+++ b/packages/core/src/scheduling/schedulingDecider.ts
@@ -1,6 +1,8 @@
 /**
- * Starts the tasks of jobs handed to this instance, each at most once, and composes the one answer.
- * A task is started again only after a refusal, which promises that it has not run.
+ * The scheduler of an instance: it queues the jobs handed to this instance, starts their tasks on endpoints, renews
+ * the leases of running tasks, and composes the one answer of each job. A task runs at most once: it is started again
+ * only after its endpoint has refused the start, which guarantees that the task has not run. Which instance
+ * schedules a job, and what happens before and after, is decided in jobs/ and routing/.
  */
 import type { Answer, EndpointId, Ms, StartOutcome, SubmissionId, TaskId, CustomerId } from '@cranberryyard/protocol'
 import { RESULT_CODES, ms, taskId } from '@cranberryyard/protocol'
@@ -10,66 +12,70 @@
 import type { LimitsDecider } from '../limits/limitsDecider.js'
 import type { RoutingDecider } from '../routing/routingDecider.js'
 import type { EndpointState, TaskSize } from '../routing/types.js'
-import { FORWARDED_KEPT_MS, SchedulingDb, newScheduledJob } from './schedulingDb.js'
+import { FORWARD_RETENTION_MS, SchedulingDb, newScheduledJob } from './schedulingDb.js'
 import type { ForwardedState, JobFailure, JobOrder, RunningTask, ScheduledJob, SchedulingListener } from './types.js'
 
-/** A lease is renewed when this part of it has passed. */
-const RENEW_PART = 1 / 3
+/** A lease is renewed once this fraction of it has passed since the last renewal. */
+const RENEW_AFTER_LEASE_FRACTION = 1 / 3
 
-/** What the scheduler decides with. */
+/** The other decisions that the scheduler depends on. */
 export interface SchedulingParts {
   readonly limits: LimitsDecider
   readonly routing: RoutingDecider
   readonly health: HealthDecider
   readonly deadlines: DeadlinesDecider
-  /** @returns the contract's bound on waiting tasks and on running ones */
+  /** @returns the contract's limits on waiting and on running tasks; undefined when the customer has no contract */
   readonly bounds: (customer: CustomerId) => { queued: number, running: number } | undefined
 }
 
-/** Decides when and where tasks start. */
+/** Decides when and where tasks start, and what is answered. */
 export class SchedulingDecider {
   readonly db: SchedulingDb
-  private readonly active = new Set<CustomerId>()
+  /** Customers with waiting tasks; one whose tasks have all left the queue is removed at the next count. */
+  private readonly activeCustomers = new Set<CustomerId>()
 
   constructor (private readonly ctx: Context, private readonly parts: SchedulingParts, private readonly listener: SchedulingListener) {
     this.db = new SchedulingDb(ctx.cfg.routing.burstToleranceMs)
   }
 
-  /** @returns number of tasks that wait here */
+  /** @returns number of tasks that wait for a start */
   get backlog (): number {
     return this.db.queue.waiting()
   }
 
-  /** @returns true when no job and no running task is left */
+  /** @returns true when no job is left and no task can still run, also none of a job that was already answered */
   isEmpty (): boolean {
     return this.db.jobs.size === 0 && this.db.running.size === 0
   }
 
   /**
-   * Notes a job forwarded by another instance, so that a message that arrives twice starts nothing twice.
+   * Remembers a job forwarded by another instance, so that a forward that arrives twice starts no task twice.
    * @param submissionId - the job
-   * @returns false when it has arrived before
+   * @returns false when the job was already remembered and must not be enqueued
    */
   noteForwarded (submissionId: SubmissionId): boolean {
     return this.db.addForwarded(submissionId, this.ctx.now)
   }
 
   /**
-   * Tells what became of a forwarded job. One that never arrived is remembered, so that it is not taken later.
+   * Reports the state of a forwarded job to the instance that forwarded it. A job that never arrived is remembered,
+   * so that a forward that is still in transit is not accepted later.
    * @param submissionId - the job
-   * @param ageMs - time since it was forwarded; beyond what is remembered nothing can be said
-   * @returns its state
+   * @param ageMs - time since it was forwarded; from half the retention of forwards on, the scheduler no longer claims
+   *   that the job never arrived
+   * @returns the state of the job
    */
   checkForwarded (submissionId: SubmissionId, ageMs: Ms): ForwardedState {
     if (this.db.jobs.has(submissionId)) return { type: 'held' }
     const answer = this.db.keptAnswer(submissionId)
     if (answer !== undefined) return { type: 'ended', answer }
-    if (ageMs >= FORWARDED_KEPT_MS / 2) return { type: 'forgotten' }
+    if (ageMs >= FORWARD_RETENTION_MS / 2) return { type: 'forgotten' }
     return this.noteForwarded(submissionId) ? { type: 'neverArrived' } : { type: 'forgotten' }
   }
 
   /**
-   * Takes a job, or refuses it when its answer cannot be on time or too many tasks wait.
+   * Queues a job. Answers it as failed instead when it cannot be finished by its deadline or when too many tasks of
+   * its customer wait.
    * @param order - the job
    */
   enqueue (order: JobOrder): void {
@@ -84,28 +90,31 @@
     this.db.jobs.set(order.submissionId, scheduled)
     this.db.queue.push(scheduled, this.ctx.now, this.parts.routing.slots())
     this.db.queuedWorkMs += scheduled.workMs
-    this.active.add(customer)
+    this.activeCustomers.add(customer)
     this.pump()
   }
 
-  /** Starts as many tasks as slots and permits allow. */
+  /**
+   * Starts as many tasks as slots and permits allow, in the order of the queue. A customer whose next task cannot start
+   * is skipped for the rest of the pass; customers without a permit are reported to the limits, which may borrow some.
+   */
   pump (): void {
-    const skipped = new Set<CustomerId>()
-    const short: CustomerId[] = []
+    const skippedCustomers = new Set<CustomerId>()
+    const customersWithoutPermit: CustomerId[] = []
     for (;;) {
-      const job = this.db.queue.next(skipped)
+      const job = this.db.queue.next(skippedCustomers)
       if (job === undefined) break
-      if (this.hasExpired(job)) continue
-      const step = this.startNext(job)
-      if (step === 'started') continue
-      if (step === 'noSlot' && !this.parts.routing.hasFreeSlot()) break
-      if (step === 'noPermit') short.push(job.customer)
-      skipped.add(job.customer)
+      if (this.failIfExpired(job)) continue
+      const attempt = this.startNext(job)
+      if (attempt === 'started') continue
+      if (attempt === 'noSlot' && !this.parts.routing.hasFreeSlot()) break
+      if (attempt === 'noPermit') customersWithoutPermit.push(job.customer)
+      skippedCustomers.add(job.customer)
     }
-    if (short.length > 0) this.parts.limits.noteShortage(short)
+    if (customersWithoutPermit.length > 0) this.parts.limits.noteShortage(customersWithoutPermit)
   }
 
-  /** Renews leases, gives up tasks whose lease has run out, and starts what has become possible. */
+  /** Renews leases, gives up tasks whose lease has run out, and starts waiting tasks. */
   tick (): void {
     this.renewLeases()
     for (const task of [...this.db.running.values()]) {
@@ -114,7 +123,7 @@
     if (this.db.queue.waiting() > 0) this.pump()
   }
 
-  /** Takes an endpoint's answer to a start. */
+  /** Handles an endpoint's answer to a start request, or the failure to send one. */
   startOutcome (id: TaskId, outcome: StartOutcome): void {
     const task = this.db.running.get(id)
     if (task === undefined) return
@@ -141,7 +150,12 @@
     this.pump()
   }
 
-  /** Takes the end of a renewal; tasks the endpoint does not know have ended without us hearing of it. */
+  /**
+   * Handles the outcome of a renewal request. After a failure the leases of its tasks are due again at once. A task
+   * that has ended at its endpoint without this instance hearing of it is not detected here.
+   * @param tasks - the tasks in the request
+   * @param renewed - false when the renewal failed
+   */
   renewOutcome (tasks: readonly TaskId[], renewed: boolean): void {
     if (renewed) return
     for (const id of tasks) {
@@ -151,7 +165,7 @@
   }
 
   /**
-   * Cancels a job: waiting tasks are dropped, running ones are stopped.
+   * Cancels a job for its caller: waiting tasks are dropped, running ones are stopped.
    * @param submissionId - the job
    */
   cancel (submissionId: SubmissionId): void {
@@ -163,7 +177,7 @@
     this.fail(job, failure)
   }
 
-  /** Gives back every job of which nothing was started. */
+  /** Returns every job of which no task was started, so that it can be placed with another instance. */
   returnUnstarted (): void {
     for (const job of [...this.db.jobs.values()]) {
       if (job.started > 0) continue
@@ -172,29 +186,36 @@
     }
   }
 
+  /**
+   * Checks a job against the queue limit and its deadline. The work ahead of it is that of the whole queue, but not
+   * more than the customer's own waiting work times the number of active customers, because customers share the slots
+   * fairly and a long queue of one does not delay the others.
+   */
   private admissionRefusal (job: ScheduledJob, estimate: { meanMs: number, p99Ms: number }): JobFailure | undefined {
     const { customer, terms, deadline, job: spec } = job.order
     const bounds = this.parts.bounds(customer)
-    if (bounds === undefined) return { name: 'unauthorized', message: 'the contract is gone; not run', ran: 'no' }
+    if (bounds === undefined) return { name: 'unauthorized', message: `customer ${customer} has no contract any more; not run`, ran: 'no' }
     const waiting = this.db.queue.waitingOf(customer)
-    if (waiting + spec.tasks.length > bounds.queued) return { name: 'queueFull', message: `${waiting} tasks already wait; not run`, ran: 'no' }
+    if (waiting + spec.tasks.length > bounds.queued) return { name: 'queueFull', message: `${waiting} tasks wait already and ${spec.tasks.length} more would exceed the limit of ${bounds.queued}; not run`, ran: 'no' }
     if (terms.whenLate === 'runLate') return undefined
     const slots = Math.min(this.parts.routing.slots(), bounds.running)
-    const ahead = Math.min(this.db.queuedWorkMs, waiting * estimate.meanMs * this.activeCustomers())
-    const hopeless = this.parts.deadlines.isHopeless(estimate, spec.tasks.length, ahead, slots, deadline - this.ctx.now)
-    return hopeless ? { name: 'deadlineUnreachable', message: 'the answer cannot be on time; not run', ran: 'no' } : undefined
+    const workAheadMs = Math.min(this.db.queuedWorkMs, waiting * estimate.meanMs * this.countActiveCustomers())
+    const unreachable = this.parts.deadlines.isHopeless(estimate, spec.tasks.length, workAheadMs, slots, deadline - this.ctx.now)
+    return unreachable ? { name: 'deadlineUnreachable', message: `the job cannot be finished within its answer time of ${terms.answerWithinMs} ms; not run`, ran: 'no' } : undefined
   }
 
-  private activeCustomers (): number {
-    for (const customer of this.active) if (this.db.queue.waitingOf(customer) === 0) this.active.delete(customer)
-    return Math.max(1, this.active.size)
+  private countActiveCustomers (): number {
+    for (const customer of this.activeCustomers) if (this.db.queue.waitingOf(customer) === 0) this.activeCustomers.delete(customer)
+    return Math.max(1, this.activeCustomers.size)
   }
 
-  /** A job of which nothing was started is refused once it can no longer be on time. */
-  private hasExpired (job: ScheduledJob): boolean {
+  /**
+   * Fails a job that has passed its deadline before any of its tasks was started, unless its terms allow a late run.
+   */
+  private failIfExpired (job: ScheduledJob): boolean {
     const { terms, deadline } = job.order
     if (job.started > 0 || terms.whenLate === 'runLate' || this.ctx.now < deadline) return false
-    this.fail(job, { name: 'expiredBeforeStart', message: 'the answer time ran out before a start; not run', ran: 'no' })
+    this.fail(job, { name: 'expiredBeforeStart', message: `no task could be started within the answer time of ${terms.answerWithinMs} ms; not run`, ran: 'no' })
     return true
   }
 
@@ -230,7 +251,11 @@
     out.push({ type: 'start', endpoint: endpoint.info.id, address, request: { taskId: id, holder: self.holder, leaseMs, notAfter, cores, memoryMb, accelerators, payload } })
   }
 
-  /** Latest time at which a task started or renewed now may still run when nothing more is heard. */
+  /**
+   * Latest time at which a task that is started or renewed now may still run if nothing more is heard of it: the
+   * request may take effect at the end of the start window, by a clock that is off by the allowed skew, and the lease
+   * begins then.
+   */
   private leaseEnd (): Ms {
     const { startWindowMs, clockSkewMs, taskLeaseMs } = this.ctx.cfg.limits
     return ms(this.ctx.now + startWindowMs + clockSkewMs + taskLeaseMs)
@@ -241,9 +266,9 @@
     this.end(task)
     this.ctx.out.count('tasks.done')
     const state = this.parts.routing.db.get(endpoint)
-    if (state !== undefined) this.parts.routing.accepted(state)
+    if (state !== undefined) this.parts.routing.startAccepted(state)
     this.parts.deadlines.db.record({ customer: job.customer, kind: job.order.job.kind }, runMs)
-    this.parts.health.success(this.reportOf(task), runMs / Math.max(1, job.meanMs))
+    this.parts.health.success(this.healthReportOf(task), runMs / Math.max(1, job.meanMs))
     if (job.ended) return
     job.results[index] = result
     job.missing--
@@ -253,7 +278,7 @@
   private taskFailed (task: RunningTask, message: string): void {
     this.end(task)
     this.ctx.out.count('tasks.failed')
-    this.parts.health.failure(this.reportOf(task))
+    this.parts.health.failure(this.healthReportOf(task))
     this.fail(task.job, { name: 'taskFailed', message: `task ${task.index}: ${message}`, ran: 'yes' })
   }
 
@@ -267,7 +292,7 @@
     this.end(task)
     this.ctx.out.count('tasks.refused')
     const state = this.parts.routing.db.get(endpoint)
-    if (state !== undefined) this.parts.routing.refused(state)
+    if (state !== undefined) this.parts.routing.startRefused(state)
     if (job.ended) return
     job.started--
     job.refusedIndexes.push(index)
@@ -279,7 +304,7 @@
   private outcomeLost (task: RunningTask): void {
     task.outcomeLost = true
     this.ctx.out.count('tasks.unknown')
-    this.parts.health.failure(this.reportOf(task))
+    this.parts.health.failure(this.healthReportOf(task))
     this.fail(task.job, { name: 'outcomeUnknown', message: `the connection was lost while task ${task.index} ran`, ran: 'maybe' })
   }
 
@@ -287,16 +312,16 @@
     this.end(task)
     if (task.outcomeLost) return
     this.ctx.out.count('tasks.unknown')
-    this.parts.health.failure(this.reportOf(task))
+    this.parts.health.failure(this.healthReportOf(task))
     this.fail(task.job, { name: 'outcomeUnknown', message: `the lease of task ${task.index} ran out without an answer`, ran: 'maybe' })
   }
 
-  private reportOf (task: RunningTask): { endpoint: EndpointId, job: SubmissionId, kind: string } {
+  private healthReportOf (task: RunningTask): { endpoint: EndpointId, job: SubmissionId, kind: string } {
     const { submissionId, customer, job } = task.job.order
     return { endpoint: task.endpoint, job: submissionId, kind: `${customer}/${job.kind}` }
   }
 
-  /** Frees permit and slot of a task that cannot run any more. */
+  /** Releases the permit and the slot of a task that can no longer run. */
   private end (task: RunningTask): void {
     this.db.running.delete(task.taskId)
     this.parts.limits.release(task.job.customer)
@@ -327,10 +352,11 @@
     this.db.queue.adjustWaiting(job.customer, -waiting)
   }
 
+  /** Asks endpoints to stop a job's tasks; those whose connection was lost end with their lease. */
   private stopRunning (job: ScheduledJob): void {
     const tasks = this.db.runningOf(job).filter(t => !t.outcomeLost)
     const notAfter = this.ctx.wall + this.ctx.cfg.limits.taskLeaseMs
-    for (const [endpoint, group] of byEndpoint(tasks)) {
+    for (const [endpoint, group] of groupByEndpoint(tasks)) {
       this.ctx.out.push({ type: 'stop', endpoint, address: group.address, tasks: group.tasks, notAfter })
     }
   }
@@ -342,22 +368,25 @@
   private renewLeases (): void {
     const due = this.tasksToRenew()
     const { wall, cfg, out } = this.ctx
-    for (const [endpoint, group] of byEndpoint(due)) {
+    for (const [endpoint, group] of groupByEndpoint(due)) {
       out.count('tasks.renewed', group.tasks.length)
       out.push({ type: 'renew', endpoint, address: group.address, tasks: group.tasks, notAfter: wall + cfg.limits.startWindowMs })
     }
   }
 
-  /** Newest tasks beyond what permits cover are not renewed, so that the limit is met when their leases end. */
+  /**
+   * Lists tasks whose lease is due for renewal. Where a customer runs more tasks than its permits cover, the newest
+   * ones in excess are left out, so that their leases end and the customer is within its limit again.
+   */
   private tasksToRenew (): RunningTask[] {
     const { now, cfg } = this.ctx
-    const uncovered = new Map<CustomerId, number>()
+    const remainingExcess = new Map<CustomerId, number>()
     const due: RunningTask[] = []
     for (const task of [...this.db.running.values()].reverse()) {
       const { customer } = task.job
-      const left = uncovered.get(customer) ?? this.parts.limits.excess(customer)
-      uncovered.set(customer, Math.max(0, left - 1))
-      if (left > 0 || task.outcomeLost || now - task.renewedAt < cfg.limits.taskLeaseMs * RENEW_PART) continue
+      const excess = remainingExcess.get(customer) ?? this.parts.limits.excess(customer)
+      remainingExcess.set(customer, Math.max(0, excess - 1))
+      if (excess > 0 || task.outcomeLost || now - task.renewedAt < cfg.limits.taskLeaseMs * RENEW_AFTER_LEASE_FRACTION) continue
       task.renewedAt = now
       task.leaseUntil = this.leaseEnd()
       due.push(task)
@@ -371,7 +400,7 @@
   readonly tasks: TaskId[]
 }
 
-function byEndpoint (tasks: readonly RunningTask[]): Map<EndpointId, EndpointGroup> {
+function groupByEndpoint (tasks: readonly RunningTask[]): Map<EndpointId, EndpointGroup> {
   const groups = new Map<EndpointId, EndpointGroup>()
   for (const task of tasks) {
     const group = groups.get(task.endpoint) ?? { address: task.address, tasks: [] }
@@ -382,9 +411,9 @@
 }
 
 /**
- * Composes a failed answer.
+ * Composes the answer to a job that failed.
  * @param submissionId - the job
- * @param failure - why, and whether anything ran
+ * @param failure - why it failed, and whether any of its tasks ran
  * @returns the answer
  */
 export function failed (submissionId: SubmissionId, failure: JobFailure): Answer {
--- a/packages/core/src/scheduling/types.ts
+++ b/packages/core/src/scheduling/types.ts
@@ -1,32 +1,37 @@
 /**
- * Types of the scheduling decision.
+ * Types of the scheduling decision: jobs as they are handed to a scheduler, its own records of jobs and running
+ * tasks, and what it reports back.
  */
 import type { Answer, CustomerId, EndpointId, InstanceId, JobSpec, KindTerms, Ms, Ran, ResultName, SubmissionId, TaskId } from '@cranberryyard/protocol'
 import type { QueuedJob } from '../fairness/types.js'
 
-/** A job as it is handed to the scheduler. */
+/** A job as it is handed to the scheduler, with the terms of its customer's contract. */
 export interface JobOrder {
   readonly submissionId: SubmissionId
   readonly customer: CustomerId
   readonly job: JobSpec
   readonly terms: KindTerms
   readonly weight: number
-  /** Instance that answers the caller; undefined when it is this one. */
+  /** Instance that accepted the job and answers the caller; undefined when it is this one. */
   readonly front: InstanceId | undefined
-  /** End of the contract's answer time. */
+  /** Time at which the contract's answer time ends. */
   readonly deadline: Ms
 }
 
-/** A job in this instance's scheduler. */
+/** The scheduler's record of a job. */
 export interface ScheduledJob extends QueuedJob {
   readonly order: JobOrder
+  /** Results by index of the task. */
   readonly results: unknown[]
+  /** Expected run time of one task. */
   readonly meanMs: number
+  /** Index of the first task that no start was tried for yet. */
   nextIndex: number
+  /** Indexes of tasks whose start an endpoint refused; they are started again first. */
   readonly refusedIndexes: number[]
-  /** Tasks without a result. */
+  /** Number of tasks without a result. */
   missing: number
-  /** Starts sent and not known to be refused. */
+  /** Number of starts sent and not known to be refused. */
   started: number
   ended: boolean
 }
@@ -40,27 +45,33 @@
   readonly address: string
   readonly startedAt: Ms
   renewedAt: Ms
-  /** After this time the endpoint has ended the task if it was not heard of. */
+  /** If nothing more is heard of the task, the endpoint has ended it by this time. */
   leaseUntil: Ms
-  /** The connection was lost after the start was sent; permit and slot stay taken until the lease has run out. */
+  /**
+   * True once the connection was lost after the start was sent. The task may still run, so its permit and slot
+   * stay in use until the lease has run out.
+   */
   outcomeLost: boolean
 }
 
-/** Receives what becomes of jobs. */
+/** Receives the outcome of jobs. */
 export interface SchedulingListener {
   jobAnswered (order: JobOrder, answer: Answer): void
-  /** The job was not started here and has to be placed elsewhere. */
+  /** No task of the job was started here; the job has to be placed with another instance. */
   jobReturned (order: JobOrder): void
 }
 
-/** What became of a forwarded job. */
+/**
+ * State of a forwarded job at its scheduler. `held`: the scheduler still works on it. `neverArrived`: the forward was
+ * lost, so nothing has run. `forgotten`: the scheduler can no longer tell whether anything has run.
+ */
 export type ForwardedState =
   | { readonly type: 'held' }
   | { readonly type: 'ended', readonly answer: Answer }
   | { readonly type: 'neverArrived' }
   | { readonly type: 'forgotten' }
 
-/** Why a job failed. */
+/** Why a job failed, and whether any of its tasks ran. */
 export interface JobFailure {
   readonly name: ResultName
   readonly message: string
