--- a/packages/core/src/jobs/jobsDb.ts
+++ b/packages/core/src/jobs/jobsDb.ts
@@ -1,5 +1,5 @@
 /**
- * Submissions in flight and answers retained at this instance.
+ * Submissions in flight at this instance, the answers it retains, and counts of how timely the answers were.
  */
 import type { CustomerId, Ms, SubmissionId } from '@cranberryyard/protocol'
 import type { TimelinessCount, Timeliness } from '../instance/types.js'
@@ -12,19 +12,19 @@
   private readonly byRequest = new Map<string, SubmissionId>()
   private readonly timeliness = new Map<string, Record<Timeliness, number> & { customer: CustomerId, kind: string }>()
 
-  /** Adds a submission. */
+  /** Adds a submission, as the latest one of its request. */
   add (job: FrontJob): void {
     this.jobs.set(job.submissionId, job)
     this.byRequest.set(`${job.customer}/${job.job.requestId}`, job.submissionId)
   }
 
-  /** Replaces a submission by its answer. */
+  /** Replaces a submission in flight by its answer. */
   retain (job: FrontJob, answer: RetainedAnswer['answer'], until: Ms): void {
     this.jobs.delete(job.submissionId)
     this.retained.set(job.submissionId, { customer: job.customer, requestId: job.job.requestId, answer, until })
   }
 
-  /** @returns a submission in flight */
+  /** @returns a submission if it is in flight */
   get (submissionId: SubmissionId): FrontJob | undefined {
     return this.jobs.get(submissionId)
   }
@@ -39,17 +39,20 @@
     return this.jobs.size
   }
 
-  /** @returns a retained answer */
+  /** @returns the answer to a submission, while it is retained */
   answerOf (submissionId: SubmissionId): RetainedAnswer | undefined {
     return this.retained.get(submissionId)
   }
 
-  /** @returns the last submission of a request at this instance */
+  /** @returns the latest submission of a request at this instance, in flight or with a retained answer */
   submissionOf (customer: CustomerId, requestId: string): SubmissionId | undefined {
     return this.byRequest.get(`${customer}/${requestId}`)
   }
 
-  /** Drops answers whose retention has ended; they were added in order. */
+  /**
+   * Drops answers whose retention has ended. All are retained for the same time, so the map has them in order of
+   * their end.
+   */
   expire (now: Ms): void {
     for (const [id, answer] of this.retained) {
       if (now < answer.until) return
@@ -59,15 +62,15 @@
     }
   }
 
-  /** Counts how a submission ended. */
-  countEnd (customer: CustomerId, kind: string, end: Timeliness): void {
+  /** Counts a submission as answered on time, late or not at all. */
+  countTimeliness (customer: CustomerId, kind: string, timeliness: Timeliness): void {
     const key = `${customer}/${kind}`
     const row = this.timeliness.get(key) ?? { customer, kind, onTime: 0, late: 0, notAnswered: 0 }
-    row[end]++
+    row[timeliness]++
     this.timeliness.set(key, row)
   }
 
-  /** @returns the count by customer and kind */
+  /** @returns the counts by customer and kind */
   timelinessCounts (): TimelinessCount[] {
     return [...this.timeliness.values()].map(row => ({ ...row }))
   }
--- a/packages/core/src/jobs/jobsDecider.ts
+++ b/packages/core/src/jobs/jobsDecider.ts
@@ -1,6 +1,7 @@
 /**
- * A submission's life at the instance that accepted it: checks, claim if its kind must run at most once,
- * placement with a scheduler, and exactly one answer. Late or repeated answers find the job answered and are dropped.
+ * Follows a submission at the instance that accepted it: checks, a claim if its kind is not idempotent, placement
+ * with a scheduler, and exactly one answer. Late or repeated answers find the job answered and are dropped. This is
+ * separate from scheduling because the scheduler may be another instance.
  */
 import type { Answer, CodedError, CustomerId, InstanceId, JobSpec, KindTerms, MemberStatus, SubmissionId } from '@cranberryyard/protocol'
 import { codedError, holderId, homeOf, isNotRun, ms } from '@cranberryyard/protocol'
@@ -18,12 +19,12 @@
 import { JobsDb } from './jobsDb.js'
 import type { FrontJob, JobEvent, JobState } from './types.js'
 
-/** Pause between two questions to a scheduler about a job whose connection broke. */
-const CHECK_PERIOD_MS = 1000
-/** Pause between two questions about an earlier submission's answer. */
-const EARLIER_ASK_MS = 150
+/** Time between two checks whether a scheduler still has a forwarded job, after the connection to it broke. */
+const FORWARD_CHECK_PERIOD_MS = 1000
+/** Time between two requests for the answer to an earlier submission. */
+const EARLIER_ANSWER_POLL_MS = 150
 
-/** What the job decision works with. */
+/** The other decisions that the job decision depends on. */
 export interface JobParts {
   readonly contracts: ContractsDecider
   readonly deduplication: DeduplicationDecider
@@ -33,33 +34,33 @@
   readonly status: () => MemberStatus
 }
 
-/** Decides what becomes of submissions. */
+/** Decides how submissions are placed and answered. */
 export class JobsDecider {
   readonly db = new JobsDb()
   private readonly chart = new Chart<JobState, JobEvent>('job')
-  private counter = 0
+  private submissionCounter = 0
 
   constructor (private readonly ctx: Context, private readonly parts: JobParts) {}
 
   /**
-   * Takes a submission.
-   * @param callId - the call that waits
+   * Accepts or refuses a submission, or attaches the call to an earlier submission of the same request.
+   * @param callId - the call that waits for the answer
    * @param keyHash - hash of the caller's key
-   * @param job - the checked job
+   * @param job - the job, its format already checked
    */
   submit (callId: string, keyHash: string, job: JobSpec): void {
     const customer = this.parts.contracts.db.customerOfKey(keyHash)
-    const refusal = this.refusalOf(customer, job)
+    const refusal = this.admissionRefusal(customer, job)
     const terms = customer === undefined ? undefined : this.parts.contracts.db.terms(customer, job.kind)
     if (refusal !== undefined || customer === undefined || terms === undefined) {
       this.refuse(callId, refusal ?? codedError('unauthorized', 'unknown key; not run'))
       return
     }
-    if (this.attach(callId, customer, job, terms)) return
+    if (this.attachToEarlier(callId, customer, job, terms)) return
     this.accept(callId, customer, job, terms)
   }
 
-  /** Answers a call that asks for an earlier submission's answer. */
+  /** Answers a call that asks for the answer to an earlier submission, which may be at another instance. */
   fetch (callId: string, keyHash: string, submissionId: SubmissionId): void {
     const customer = this.parts.contracts.db.customerOfKey(keyHash)
     if (customer === undefined) {
@@ -68,62 +69,65 @@
     }
     const home = homeOf(submissionId)
     if (home === this.ctx.self.instance) this.replyLocal(callId, customer, submissionId)
-    else this.askHome(callId, customer, submissionId, home)
+    else this.requestAnswerFromHome(callId, customer, submissionId, home)
   }
 
-  /** Cancels a submission of this instance. */
+  /** Cancels a submission in flight at this instance; the call then waits for the answer like any other. */
   cancel (callId: string, keyHash: string, submissionId: SubmissionId): void {
     const customer = this.parts.contracts.db.customerOfKey(keyHash)
     const job = this.db.get(submissionId)
     if (job === undefined || job.customer !== customer) {
-      this.refuse(callId, codedError('unknownSubmission', 'no such submission here'))
+      this.refuse(callId, codedError('unknownSubmission', `no submission ${submissionId} of this customer is in flight at this instance`))
       return
     }
     job.waiting.push(callId)
     this.cancelJob(job)
   }
 
-  /** Takes the end of a claim attempt. */
+  /**
+   * Handles the outcome of a claim: places the job, waits for the earlier submission that has the claim, or refuses
+   * the job.
+   */
   claimEnded (submissionId: SubmissionId, outcome: ClaimOutcome): void {
     const job = this.db.get(submissionId)
     if (job === undefined || job.state !== 'claiming') return
     switch (outcome.type) {
       case 'won':
-        this.step(job, 'claimed')
+        this.applyEvent(job, 'claimed')
         this.place(job)
         return
       case 'taken':
-        this.followEarlier(job, outcome.by)
+        this.awaitEarlierAnswer(job, outcome.by)
         return
       case 'undecidable':
         this.fail(job, 'refuse', { name: 'claimUndecidable', message: 'too few claim holders could be reached; not run', ran: 'no' })
     }
   }
 
-  /** Takes an answer from the scheduler, here or elsewhere. */
+  /** Handles an answer from the scheduler, which may be this instance or another one. */
   answered (answer: Answer): void {
     const job = this.db.get(answer.submissionId)
     if (job !== undefined) this.finish(job, 'answer', answer)
   }
 
-  /** Takes back a job of which nothing was started. */
+  /** Places a job again that another scheduler returned without having started any task. */
   returned (submissionId: SubmissionId, from: InstanceId): void {
     const job = this.db.get(submissionId)
     if (job === undefined || job.state !== 'forwarded' || job.scheduler?.instance !== from) return
     job.excluded.add(from)
-    this.step(job, 'returned')
+    this.applyEvent(job, 'returned')
     this.place(job)
   }
 
-  /** Takes back a job that this instance's own scheduler did not start. */
+  /** Places a job again that this instance's own scheduler returned without having started any task. */
   returnedHere (submissionId: SubmissionId): void {
     const job = this.db.get(submissionId)
     if (job === undefined) return
-    this.step(job, 'returned')
+    this.applyEvent(job, 'returned')
     this.place(job)
   }
 
-  /** Answers a peer that asks for a submission of this instance. */
+  /** Replies to a peer that requests the answer to a submission of this instance. */
   receiveQuestion (from: InstanceId, customer: CustomerId, submissionId: SubmissionId, replyTo: string): void {
     const retained = this.db.answerOf(submissionId)
     const answer = retained?.customer === customer ? retained.answer : null
@@ -131,27 +135,32 @@
     this.parts.membership.tell(from, { type: 'answerReply', replyTo, answer, pending })
   }
 
-  /** Takes a peer's reply about one of its submissions, for a waiting call or for a resubmission. */
+  /**
+   * Handles a peer's reply about one of its submissions, for a waiting call or for a later submission of the same
+   * request.
+   */
   receiveReply (replyTo: string, answer: Answer | null, pending: boolean): void {
     const job = this.db.get(replyTo as SubmissionId)
-    if (job !== undefined) this.earlierReply(job, answer, pending)
+    if (job !== undefined) this.earlierAnswerReceived(job, answer, pending)
     else this.replyToCall(replyTo, answer, pending)
   }
 
-  /** Notes that a connection to a scheduler broke: forwards and answers on it may be lost. */
+  /**
+   * Schedules checks of jobs forwarded over a connection that broke, because forwards and answers on it may be lost.
+   */
   doubt (scheduler: InstanceId): void {
     for (const job of this.db.all()) {
       if (job.state === 'forwarded' && job.scheduler?.instance === scheduler) job.checkAt ??= this.ctx.now
     }
   }
 
-  /** Gives up jobs whose scheduler is lost or whose time is over. */
+  /** Sends due requests and checks, and gives up jobs whose scheduler is lost or whose time is over. */
   tick (): void {
     for (const job of [...this.db.all()]) this.tickJob(job)
     this.db.expire(this.ctx.now)
   }
 
-  private refusalOf (customer: CustomerId | undefined, job: JobSpec): CodedError | undefined {
+  private admissionRefusal (customer: CustomerId | undefined, job: JobSpec): CodedError | undefined {
     const { contracts, status } = this.parts
     if (status() === 'starting') return codedError('starting', 'the instance is starting; not run')
     if (customer === undefined) return codedError('unauthorized', 'unknown key; not run')
@@ -161,7 +170,7 @@
       return codedError('unknownKind', `the contract has no kind ${job.kind}; not run`, 'kind')
     }
     if (job.tasks.length > contract.limits.jobTasks) {
-      return codedError('jobTooLarge', `${job.tasks.length} tasks are more than ${contract.limits.jobTasks}; not run`, 'tasks')
+      return codedError('jobTooLarge', `the job has ${job.tasks.length} tasks, the contract allows ${contract.limits.jobTasks}; not run`, 'tasks')
     }
     return this.sizeRefusal(job)
   }
@@ -170,11 +179,15 @@
     const { routing } = this.parts
     if (routing.db.all().length === 0) return codedError('starting', 'no endpoint is known yet; not run')
     const index = job.tasks.findIndex(t => !routing.canEverRun(t))
-    return index < 0 ? undefined : codedError('cannotRun', 'no endpoint is large enough; not run', `tasks.${index}`)
+    return index < 0 ? undefined : codedError('cannotRun', `no endpoint is large enough for task ${index}; not run`, `tasks.${index}`)
   }
 
-  /** A request that is in flight or answered here is not run again, unless its kind allows it and it failed. */
-  private attach (callId: string, customer: CustomerId, job: JobSpec, terms: KindTerms): boolean {
+  /**
+   * Answers a repeated request from its earlier submission at this instance, if that is in flight or its answer is
+   * retained. A failed request is run again if its kind is idempotent or nothing of it ran.
+   * @returns true when the call was attached to the earlier submission or answered
+   */
+  private attachToEarlier (callId: string, customer: CustomerId, job: JobSpec, terms: KindTerms): boolean {
     const earlier = this.db.submissionOf(customer, job.requestId)
     if (earlier === undefined) return false
     const inFlight = this.db.get(earlier)
@@ -195,8 +208,8 @@
 
   private accept (callId: string, customer: CustomerId, spec: JobSpec, terms: KindTerms): void {
     const { self, now, out } = this.ctx
-    this.counter++
-    const submissionId = `${self.instance}.${self.incarnation.toString(36)}.${this.counter.toString(36)}` as SubmissionId
+    this.submissionCounter++
+    const submissionId = `${self.instance}.${self.incarnation.toString(36)}.${this.submissionCounter.toString(36)}` as SubmissionId
     const job: FrontJob = {
       submissionId,
       customer,
@@ -216,7 +229,7 @@
     out.count('jobs.accepted')
     out.push({ type: 'accepted', callId, submissionId })
     if (terms.idempotent) {
-      this.step(job, 'claimed')
+      this.applyEvent(job, 'claimed')
       this.place(job)
     } else {
       this.parts.deduplication.begin(customer, spec.requestId as never, submissionId)
@@ -228,7 +241,7 @@
     const placement = this.parts.routing.place(job.excluded)
     switch (placement.type) {
       case 'here':
-        this.step(job, 'placeLocal')
+        this.applyEvent(job, 'placeLocal')
         this.parts.scheduling.enqueue(this.orderOf(job))
         return
       case 'remote':
@@ -238,7 +251,7 @@
 
   private forward (job: FrontJob, to: InstanceId): void {
     const member = this.parts.membership.db.get(to)
-    this.step(job, 'placeRemote')
+    this.applyEvent(job, 'placeRemote')
     job.scheduler = { instance: to, incarnation: member?.incarnation ?? 0 }
     job.forwardedAt = this.ctx.now
     job.checkAt = undefined
@@ -279,19 +292,22 @@
     if (scheduler !== undefined) this.parts.membership.tell(scheduler.instance, { type: 'forwardCancel', submissionId })
   }
 
-  /** The request was claimed by an earlier submission: its answer is fetched if its home can be reached. */
-  private followEarlier (job: FrontJob, earlier: SubmissionId): void {
+  /**
+   * Handles a request that an earlier submission has claimed: the answer to that one is requested from its home, the
+   * instance that accepted it. If the home is not live, the job is refused as a duplicate.
+   */
+  private awaitEarlierAnswer (job: FrontJob, earlier: SubmissionId): void {
     const home = homeOf(earlier)
     if (home === this.ctx.self.instance) {
       const retained = this.db.answerOf(earlier)
-      this.earlierReply(job, retained?.answer ?? null, this.db.get(earlier) !== undefined)
+      this.earlierAnswerReceived(job, retained?.answer ?? null, this.db.get(earlier) !== undefined)
       return
     }
-    job.earlier = { submissionId: earlier, askAt: ms(0) }
-    this.askEarlier(job)
+    job.earlier = { submissionId: earlier, nextRequestAt: ms(0) }
+    this.requestEarlierAnswer(job)
   }
 
-  private askEarlier (job: FrontJob): void {
+  private requestEarlierAnswer (job: FrontJob): void {
     const { earlier } = job
     if (earlier === undefined) return
     const member = this.parts.membership.db.get(homeOf(earlier.submissionId))
@@ -299,12 +315,12 @@
       this.refuseDuplicate(job)
       return
     }
-    earlier.askAt = ms(this.ctx.now + EARLIER_ASK_MS)
+    earlier.nextRequestAt = ms(this.ctx.now + EARLIER_ANSWER_POLL_MS)
     const { submissionId, customer } = job
     this.parts.membership.tell(member.instance, { type: 'answerRequest', submissionId: earlier.submissionId, customer, replyTo: submissionId })
   }
 
-  private earlierReply (job: FrontJob, answer: Answer | null, pending: boolean): void {
+  private earlierAnswerReceived (job: FrontJob, answer: Answer | null, pending: boolean): void {
     if (job.state !== 'claiming') return
     if (answer !== null) {
       this.ctx.out.count('jobs.resubmitted')
@@ -323,20 +339,20 @@
 
   private tickJob (job: FrontJob): void {
     const { now, cfg } = this.ctx
-    if (job.state === 'claiming' && job.earlier !== undefined && now >= job.earlier.askAt) this.askEarlier(job)
+    if (job.state === 'claiming' && job.earlier !== undefined && now >= job.earlier.nextRequestAt) this.requestEarlierAnswer(job)
     if (job.state === 'forwarded' && this.isSchedulerLost(job)) {
       this.fail(job, 'schedulerLost', { name: 'schedulerLost', message: 'the instance that scheduled the job was lost', ran: 'maybe' })
       return
     }
     this.checkForwarded(job)
-    const end = job.acceptedAt + job.terms.answerWithinMs * cfg.jobs.lateGraceFactor
-    if (now >= end) this.giveUp(job)
+    const giveUpAt = job.acceptedAt + job.terms.answerWithinMs * cfg.jobs.lateGraceFactor
+    if (now >= giveUpAt) this.giveUp(job)
   }
 
   private checkForwarded (job: FrontJob): void {
     const { scheduler, checkAt, submissionId } = job
     if (job.state !== 'forwarded' || scheduler === undefined || checkAt === undefined || this.ctx.now < checkAt) return
-    job.checkAt = ms(this.ctx.now + CHECK_PERIOD_MS)
+    job.checkAt = ms(this.ctx.now + FORWARD_CHECK_PERIOD_MS)
     const holder = holderId(scheduler.instance, scheduler.incarnation)
     this.parts.membership.tell(scheduler.instance, { type: 'forwardCheck', scheduler: holder, submissionId, ageMs: ms(this.ctx.now - job.forwardedAt) })
   }
@@ -352,20 +368,23 @@
         return
       case 'forwarded':
         this.sendCancel(job)
-        this.fail(job, 'giveUp', { name: 'answerTooLate', message: 'no answer arrived in time', ran: 'maybe' })
+        this.fail(job, 'giveUp', { name: 'answerTooLate', message: `no answer arrived within the answer time of ${job.terms.answerWithinMs} ms and the grace period after it`, ran: 'maybe' })
         return
       case 'placing':
       case 'answered':
     }
   }
 
-  /** A broken connection alone does not count: the scheduler may still run the job and answer. */
+  /**
+   * A scheduler is lost when it has been silent for too long, was forgotten or has restarted. A broken connection alone
+   * does not count, because the scheduler may still run the job and answer.
+   */
   private isSchedulerLost (job: FrontJob): boolean {
     const { scheduler } = job
     const member = scheduler === undefined ? undefined : this.parts.membership.db.get(scheduler.instance)
     if (member === undefined || scheduler === undefined) return true
     if (member.incarnation !== scheduler.incarnation) return true
-    return this.ctx.now - member.advancedAt >= this.ctx.cfg.membership.suspectMs
+    return this.ctx.now - member.lastHeartbeatAt >= this.ctx.cfg.membership.suspectMs
   }
 
   private fail (job: FrontJob, event: JobEvent, failure: JobFailure): void {
@@ -374,15 +393,15 @@
 
   private finish (job: FrontJob, event: JobEvent, answer: Answer): void {
     if (this.chart.next(job.state, event) === undefined) return
-    this.step(job, event)
+    this.applyEvent(job, event)
     const { now, cfg, out } = this.ctx
     this.db.retain(job, answer, ms(now + cfg.jobs.retentionMs))
-    this.db.countEnd(job.customer, job.job.kind, timelinessOf(answer, now > job.deadline))
+    this.db.countTimeliness(job.customer, job.job.kind, timelinessOf(answer, now > job.deadline))
     out.count(answer.outcome === 'complete' ? 'jobs.complete' : isNotRun(answer.code) ? 'jobs.refused' : 'jobs.failed')
     for (const callId of job.waiting) out.push({ type: 'answer', callId, answer })
   }
 
-  private step (job: FrontJob, event: JobEvent): void {
+  private applyEvent (job: FrontJob, event: JobEvent): void {
     job.state = this.chart.next(job.state, event) ?? job.state
   }
 
@@ -397,7 +416,7 @@
     this.replyToCall(callId, retained?.customer === customer ? retained.answer : null, pending, submissionId)
   }
 
-  private askHome (callId: string, customer: CustomerId, submissionId: SubmissionId, home: InstanceId): void {
+  private requestAnswerFromHome (callId: string, customer: CustomerId, submissionId: SubmissionId, home: InstanceId): void {
     const member = this.parts.membership.db.get(home)
     if (member === undefined || !this.parts.membership.isLive(member)) {
       this.replyToCall(callId, null, false)
--- a/packages/core/src/membership/membershipDb.ts
+++ b/packages/core/src/membership/membershipDb.ts
@@ -1,14 +1,15 @@
 /**
- * What this instance knows of the others: their last heartbeats, and which of its own heartbeats they have seen.
+ * What this instance knows of the others: their addresses, their last heartbeats, and which of this instance's own
+ * heartbeats they have seen.
  */
 import type { InstanceId, MemberEntry, Ms } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { Member } from './types.js'
 
-/** How many of its own heartbeats an instance remembers the times of. */
+/** Number of own heartbeats whose send time is kept; acknowledgements of older ones are ignored. */
 const OWN_HEARTBEATS_KEPT = 64
 
-/** Members by name, and acknowledgements of this instance's own heartbeats. */
+/** Members and their addresses by name, and acknowledgements of this instance's own heartbeats. */
 export class MembershipDb {
   private readonly members = new Map<InstanceId, Member>()
   private readonly addresses = new Map<InstanceId, string>()
@@ -17,26 +18,29 @@
   private readonly ownHeartbeats = new Map<number, Ms>()
 
   /**
-   * Takes over an entry if it is newer than what is known.
-   * @param entry - what a peer says
+   * Stores an entry if it has a later incarnation or a newer heartbeat than the known one.
+   * @param entry - an entry that a peer sent
    * @param now - time of arrival
-   * @returns true when the entry was news
+   * @returns true when the entry was stored
    */
   merge (entry: MemberEntry, now: Ms): boolean {
     const known = this.members.get(entry.instance)
     if (known !== undefined && !isNewer(entry, known)) return false
-    this.members.set(entry.instance, { ...entry, advancedAt: now, linkDown: false })
+    this.members.set(entry.instance, { ...entry, lastHeartbeatAt: now, linkDown: false })
     this.addresses.set(entry.instance, entry.address)
     return true
   }
 
-  /** Records when an own heartbeat was sent. */
+  /** Records the send time of an own heartbeat. */
   recordOwnHeartbeat (heartbeat: number, now: Ms): void {
     this.ownHeartbeats.set(heartbeat, now)
     this.ownHeartbeats.delete(heartbeat - OWN_HEARTBEATS_KEPT)
   }
 
-  /** Records that a peer has seen an own heartbeat; counts from when that heartbeat was sent. */
+  /**
+   * Records that a peer has seen an own heartbeat. The acknowledgement counts from the time the heartbeat was sent, not
+   * from the time its echo arrives.
+   */
   acknowledge (peer: InstanceId, heartbeat: number): void {
     const sentAt = this.ownHeartbeats.get(heartbeat)
     if (sentAt === undefined) return
@@ -48,44 +52,45 @@
     return this.acknowledgedAt.get(peer)
   }
 
-  /** Marks a member's connection as broken. */
   markLinkDown (instance: InstanceId): void {
     const known = this.members.get(instance)
     if (known !== undefined) this.members.set(instance, { ...known, linkDown: true })
   }
 
-  /** Learns an address from the platform's list; gossip from the member itself wins. */
+  /** Records an address from the platform's list, unless the member has already sent its own by gossip. */
   learnAddress (instance: InstanceId, address: string): void {
     if (!this.members.has(instance)) this.addresses.set(instance, address)
   }
 
-  /** Takes an address from the settings; it holds as seen from here and wins over all others. */
+  /**
+   * Records an address from the settings. It is the address as this instance has to reach it, so it wins over all
+   * others.
+   */
   fixAddress (instance: InstanceId, address: string): void {
     this.fixedAddresses.set(instance, address)
     this.learnAddress(instance, address)
   }
 
-  /** @returns the peer address of an instance, if known */
+  /** @returns the peer address of an instance, from the settings if they have one; undefined when unknown */
   addressOf (instance: InstanceId): string | undefined {
     return this.fixedAddresses.get(instance) ?? this.addresses.get(instance)
   }
 
-  /** @returns instances whose address is known but which have not been heard of */
-  unheard (): InstanceId[] {
+  /** @returns instances of which the address is known, but no heartbeat */
+  instancesWithoutHeartbeat (): InstanceId[] {
     return [...this.addresses.keys()].filter(id => !this.members.has(id))
   }
 
-  /** @returns a member by name */
   get (instance: InstanceId): Member | undefined {
     return this.members.get(instance)
   }
 
-  /** @returns all members ever heard of and not forgotten */
+  /** @returns all members of which a heartbeat has arrived and that were not forgotten since, live or not */
   all (): Member[] {
     return [...this.members.values()]
   }
 
-  /** Forgets a member that has been silent for long. */
+  /** Removes a member. Its address from the settings is kept, so that it can be contacted again. */
   forget (instance: InstanceId): void {
     this.members.delete(instance)
     this.addresses.delete(instance)
--- a/packages/core/src/membership/membershipDecider.ts
+++ b/packages/core/src/membership/membershipDecider.ts
@@ -1,7 +1,7 @@
 /**
- * Membership by sparse heartbeats. Each instance tells a few others what it knows; nobody talks to everybody.
- * Two questions are answered here: who may be given work, and whether this instance itself is still
- * acknowledged by a majority of its failure domain and so may go on using its share of the limits.
+ * Membership by gossip: with each heartbeat an instance sends what it knows to a few others, never to all of them.
+ * Two decisions depend on it: which members may be given work, and whether a majority of its failure domain still
+ * acknowledges this instance, so that it may go on using its share of the limits.
  */
 import type { FailureDomain, InstanceId, MemberEntry, MemberStatus, Ms, PeerMessage, RosterEntry } from '@cranberryyard/protocol'
 import type { Context } from '../instance/context.js'
@@ -10,14 +10,14 @@
 import { MembershipDb } from './membershipDb.js'
 import type { Member } from './types.js'
 
-/** Largest number of peers of the own domain that one heartbeat goes to. */
+/** Number of peers in the own failure domain that each heartbeat goes to, if there are that many. */
 const DOMAIN_FANOUT = 2
-/** Largest number of entries about other domains in one message; keeps a daemon within its bytes per second. */
+/** Largest number of entries about other domains in one message; keeps an instance within its bytes per second. */
 const REMOTE_ENTRIES_MAX = 4
-/** Silent members are forgotten after this span. */
-const FORGET_MS = 120_000
+/** A member that has been silent for this long is forgotten. */
+const FORGET_AFTER_MS = 120_000
 
-/** What the rest of the instance contributes to its own entry. */
+/** The fields of this instance's own entry that other parts of it contribute. */
 export interface OwnReport {
   readonly status: MemberStatus
   readonly versionInForce: number
@@ -26,84 +26,86 @@
   readonly backlog: number
 }
 
-/** Decides who is a live member. */
+/** Decides which members are live, and sends this instance's heartbeats. */
 export class MembershipDecider {
   readonly db = new MembershipDb()
   private heartbeat = 0
   private nextHeartbeatAt = 0
-  private remoteTurn = 0
-  private toldInForce = 0
-  private readonly news = new Set<InstanceId>()
+  /** Where the next message begins in the list of remote members. */
+  private nextRemoteIndex = 0
+  private announcedVersionInForce = 0
+  /** Members whose version in force or status has changed since changes were last announced. */
+  private readonly changedMembers = new Set<InstanceId>()
   private readonly suspected = new Set<InstanceId>()
 
   constructor (private readonly ctx: Context, private readonly report: () => OwnReport) {}
 
-  /** Passes news on, and sends a heartbeat when one is due. */
+  /** Announces changes at once, and sends a heartbeat when one is due. */
   tick (): void {
-    this.passNews()
+    this.announceChanges()
     if (this.ctx.now < this.nextHeartbeatAt) return
     this.nextHeartbeatAt = this.ctx.now + this.ctx.cfg.membership.heartbeatMs
-    this.beat()
-    this.noteSuspects()
+    this.sendHeartbeat()
+    this.updateSuspicions()
   }
 
   /**
-   * Sends a message to an instance by name; without a known address it is not sent.
+   * Sends a message to an instance by name. The message is dropped when the address is unknown.
    * @param to - the receiver
-   * @param message - what to say
+   * @param message - the message
    */
   tell (to: InstanceId, message: PeerMessage): void {
     const address = this.db.addressOf(to)
     if (address !== undefined) sendPeer(this.ctx, to, address, message)
   }
 
-  /** Tells every known member at once, for changes that must be known within seconds. */
+  /** Sends a heartbeat to every known member at once, for changes that all must know within seconds. */
   broadcast (): void {
     this.nextOwnHeartbeat()
     for (const member of this.db.all()) this.gossipTo(member.instance)
   }
 
   /**
-   * Takes in a heartbeat message. A peer that follows a newer fleet version acknowledges nothing:
-   * it may have taken this instance off the roster.
+   * Handles a heartbeat message. The sender's echo of an own heartbeat counts as an acknowledgement only if the sender
+   * follows no newer fleet version than this instance: in a newer one this instance may be off the roster.
    * @param from - the sender
-   * @param entries - what it knows
-   * @param fleetVersion - the version it follows
+   * @param entries - the entries that the sender knows
+   * @param fleetVersion - the fleet version that the sender follows
    */
   receive (from: InstanceId, entries: readonly MemberEntry[], fleetVersion: number): void {
     const { self } = this.ctx
     const mayAcknowledge = fleetVersion <= this.report().versionKnown
     for (const entry of entries) {
-      if (entry.instance !== self.instance) this.take(entry)
+      if (entry.instance !== self.instance) this.mergeEntry(entry)
       else if (mayAcknowledge && entry.incarnation === self.incarnation) this.db.acknowledge(from, entry.heartbeat)
     }
   }
 
   /**
-   * Tells whether a member may be given work.
+   * Checks whether a member may be given work.
    * @param member - the member
-   * @returns true when its heartbeat is recent and its connection has not broken since
+   * @returns true when its last heartbeat is recent and the connection to it has not broken since
    */
   isLive (member: Member): boolean {
     if (member.linkDown) return false
-    return this.ctx.now - member.advancedAt < this.silenceLimit(member.failureDomain)
+    return this.ctx.now - member.lastHeartbeatAt < this.silenceLimitMs(member.failureDomain)
   }
 
-  /** @returns live members that take new work, oldest life first; this instance is not among them */
+  /** @returns live members that accept new work, without this instance, the earliest incarnation first */
   serving (): Member[] {
     return this.db.all().filter(m => m.status === 'serving' && this.isLive(m)).sort(byAge)
   }
 
-  /** @returns live members of the own domain, whatever their status */
+  /** @returns live members of the own domain of any status, without this instance, the earliest incarnation first */
   liveInDomain (): Member[] {
     return this.db.all().filter(m => m.failureDomain === this.ctx.self.failureDomain && this.isLive(m)).sort(byAge)
   }
 
   /**
-   * Tells for how long a majority of the own domain's roster has acknowledged this instance from now on. An instance
-   * without it must not use its share: others may already have taken it off the roster.
+   * Computes how much longer this instance counts as acknowledged by a majority of its domain's roster. Without that
+   * majority it must not use its share of the limits, because others may already have removed it from the roster.
    * @param roster - entries of the roster in force here
-   * @returns milliseconds, not above 0 when there is no majority, Infinity when none is needed
+   * @returns milliseconds: 0 or less without a majority, Infinity when the domain has no other entry
    */
   acknowledgedFor (roster: readonly RosterEntry[]): number {
     const { self, cfg, now } = this.ctx
@@ -115,50 +117,52 @@
   }
 
   /**
-   * Lists roster entries of the own domain that have been silent so long that they no longer use their shares.
+   * Lists roster entries of the own domain whose instances have been silent for so long that they are no longer
+   * acknowledged and no longer use their shares.
    * @param roster - entries of the roster
-   * @returns entries with the time their owner was last heard of
+   * @returns entries with the time of the last heartbeat; undefined when this incarnation has sent none
    */
-  silentInDomain (roster: readonly RosterEntry[]): { entry: RosterEntry, heardAt: Ms | undefined }[] {
+  silentInDomain (roster: readonly RosterEntry[]): { entry: RosterEntry, lastHeartbeatAt: Ms | undefined }[] {
     const { self, cfg } = this.ctx
     const limit = cfg.limits.isolationMs + cfg.membership.heartbeatMs
     return roster
       .filter(e => e.failureDomain === self.failureDomain && e.holder !== self.holder)
-      .map(entry => ({ entry, heardAt: this.heardAt(entry) }))
-      .filter(({ heardAt }) => heardAt === undefined || this.ctx.now - heardAt >= limit)
+      .map(entry => ({ entry, lastHeartbeatAt: this.lastHeartbeatOf(entry) }))
+      .filter(({ lastHeartbeatAt }) => lastHeartbeatAt === undefined || this.ctx.now - lastHeartbeatAt >= limit)
   }
 
-  private take (entry: MemberEntry): void {
+  private mergeEntry (entry: MemberEntry): void {
     const before = this.db.get(entry.instance)
     if (!this.db.merge(entry, this.ctx.now)) return
-    if (before?.versionInForce !== entry.versionInForce || before.status !== entry.status) this.news.add(entry.instance)
+    if (before?.versionInForce !== entry.versionInForce || before.status !== entry.status) this.changedMembers.add(entry.instance)
   }
 
   /**
-   * A version that has come into force, or a status that has changed, does not wait for heartbeats: each instance
-   * tells its domain of itself, the oldest of the domain tells the oldest of the others, and these their domains.
+   * Announces a version that has come into force, or a changed status, without waiting for the next heartbeat. Each
+   * instance informs its own domain about itself. The oldest instance of each domain relays the changes of its domain
+   * to the oldest instances of the other domains, and changes that it receives from there to its own domain.
    */
-  private passNews (): void {
-    const ownNews = this.report().versionInForce !== this.toldInForce
-    if (!ownNews && this.news.size === 0) return
-    this.toldInForce = this.report().versionInForce
+  private announceChanges (): void {
+    const ownChanged = this.report().versionInForce !== this.announcedVersionInForce
+    if (!ownChanged && this.changedMembers.size === 0) return
+    this.announcedVersionInForce = this.report().versionInForce
     const domain = this.liveInDomain()
-    if (ownNews) {
+    if (ownChanged) {
       this.nextOwnHeartbeat()
-      this.tellAll(domain, [this.ownEntry()])
+      this.sendToAll(domain, [this.ownEntry()])
     }
-    if (domain.every(m => byAge(this.ctx.self, m) < 0)) this.relayNews(domain, ownNews)
-    this.news.clear()
+    if (domain.every(m => byAge(this.ctx.self, m) < 0)) this.relayChanges(domain, ownChanged)
+    this.changedMembers.clear()
   }
 
-  private relayNews (domain: readonly Member[], ownNews: boolean): void {
-    const changed = this.db.all().filter(m => this.news.has(m.instance))
-    const isOwn = (m: Member): boolean => m.failureDomain === this.ctx.self.failureDomain
-    const outbound = changed.filter(isOwn).map(toEntry)
-    if (ownNews) outbound.push(this.ownEntry())
-    if (outbound.length > 0) this.tellAll(this.oldestOfOtherDomains(), outbound)
-    const inbound = changed.filter(m => !isOwn(m)).map(toEntry)
-    if (inbound.length > 0) this.tellAll(domain, inbound)
+  private relayChanges (domain: readonly Member[], ownChanged: boolean): void {
+    const changed = this.db.all().filter(m => this.changedMembers.has(m.instance))
+    const isInOwnDomain = (m: Member): boolean => m.failureDomain === this.ctx.self.failureDomain
+    const outbound = changed.filter(isInOwnDomain).map(toEntry)
+    if (ownChanged) outbound.push(this.ownEntry())
+    if (outbound.length > 0) this.sendToAll(this.oldestOfOtherDomains(), outbound)
+    const inbound = changed.filter(m => !isInOwnDomain(m)).map(toEntry)
+    if (inbound.length > 0) this.sendToAll(domain, inbound)
   }
 
   private oldestOfOtherDomains (): Member[] {
@@ -169,31 +173,31 @@
     return [...oldest.values()]
   }
 
-  private tellAll (members: readonly Member[], entries: readonly MemberEntry[]): void {
+  private sendToAll (members: readonly Member[], entries: readonly MemberEntry[]): void {
     for (const member of members) this.tell(member.instance, { type: 'gossip', entries, fleetVersion: this.report().versionKnown })
   }
 
-  private heardAt (entry: RosterEntry): Ms | undefined {
+  private lastHeartbeatOf (entry: RosterEntry): Ms | undefined {
     const member = this.db.get(entry.instance)
-    return member?.incarnation === entry.incarnation ? member.advancedAt : undefined
+    return member?.incarnation === entry.incarnation ? member.lastHeartbeatAt : undefined
   }
 
-  private silenceLimit (domain: FailureDomain): number {
+  private silenceLimitMs (domain: FailureDomain): number {
     const { cfg, self } = this.ctx
     if (domain !== self.failureDomain) return cfg.membership.suspectMs
     return cfg.limits.isolationMs + 2 * cfg.membership.heartbeatMs
   }
 
-  private beat (): void {
+  private sendHeartbeat (): void {
     this.nextOwnHeartbeat()
     const { self, cfg, random } = this.ctx
-    const heard = this.db.all()
-    const domain = heard.filter(m => m.failureDomain === self.failureDomain).map(m => m.instance)
+    const known = this.db.all()
+    const domain = known.filter(m => m.failureDomain === self.failureDomain).map(m => m.instance)
     for (const peer of sample(random, domain, DOMAIN_FANOUT)) this.gossipTo(peer)
     if (this.heartbeat % cfg.membership.remoteHeartbeatEvery !== 0) return
-    const remote = heard.filter(m => m.failureDomain !== self.failureDomain).map(m => m.instance)
+    const remote = known.filter(m => m.failureDomain !== self.failureDomain).map(m => m.instance)
     for (const peer of sample(random, remote, 1)) this.gossipTo(peer)
-    for (const peer of sample(random, this.db.unheard(), 2)) this.gossipTo(peer)
+    for (const peer of sample(random, this.db.instancesWithoutHeartbeat(), 2)) this.gossipTo(peer)
   }
 
   private nextOwnHeartbeat (): void {
@@ -214,12 +218,12 @@
     return [this.ownEntry(), ...[...domain, ...this.remoteEntries(known)].map(toEntry)]
   }
 
-  /** Remote members take turns, so that news of each passes on at a steady pace. */
+  /** Members of other domains take turns, so that each one's entry is passed on at a steady rate. */
   private remoteEntries (known: readonly Member[]): Member[] {
     const remote = known.filter(m => m.failureDomain !== this.ctx.self.failureDomain && this.isLive(m))
     if (remote.length <= REMOTE_ENTRIES_MAX) return remote
-    const picked = Array.from({ length: REMOTE_ENTRIES_MAX }, (_, i) => remote[(this.remoteTurn + i) % remote.length])
-    this.remoteTurn = (this.remoteTurn + REMOTE_ENTRIES_MAX) % remote.length
+    const picked = Array.from({ length: REMOTE_ENTRIES_MAX }, (_, i) => remote[(this.nextRemoteIndex + i) % remote.length])
+    this.nextRemoteIndex = (this.nextRemoteIndex + REMOTE_ENTRIES_MAX) % remote.length
     return picked.filter(m => m !== undefined)
   }
 
@@ -235,7 +239,7 @@
     }
   }
 
-  private noteSuspects (): void {
+  private updateSuspicions (): void {
     for (const member of this.db.all()) {
       if (this.isLive(member)) this.noteRecovered(member)
       else this.noteSuspect(member)
@@ -243,7 +247,7 @@
   }
 
   private noteSuspect (member: Member): void {
-    if (this.ctx.now - member.advancedAt > FORGET_MS) {
+    if (this.ctx.now - member.lastHeartbeatAt > FORGET_AFTER_MS) {
       this.db.forget(member.instance)
       this.suspected.delete(member.instance)
       return
@@ -260,7 +264,9 @@
   }
 }
 
-/** Orders members by the start of their life, so that a newcomer never displaces one that has a role. */
+/**
+ * Orders members by incarnation, the earliest first, so that an instance that joins never displaces one with a role.
+ */
 export function byAge (a: Pick<Member, 'incarnation' | 'instance'>, b: Pick<Member, 'incarnation' | 'instance'>): number {
   return a.incarnation - b.incarnation || (a.instance < b.instance ? -1 : 1)
 }
--- a/packages/core/src/membership/types.ts
+++ b/packages/core/src/membership/types.ts
@@ -3,10 +3,10 @@
  */
 import type { MemberEntry, Ms } from '@cranberryyard/protocol'
 
-/** A member with what this instance observed of it. */
+/** The newest entry known of a member, with what this instance has observed of it. */
 export interface Member extends MemberEntry {
-  /** When its heartbeat was last seen to grow. */
-  readonly advancedAt: Ms
-  /** A broken connection makes a member suspect until its heartbeat grows again. */
+  /** When an entry with a newer heartbeat of this member last arrived, from the member or through a peer. */
+  readonly lastHeartbeatAt: Ms
+  /** True after the connection to the member broke; it is suspect until a newer heartbeat arrives. */
   readonly linkDown: boolean
 }
--- a/packages/core/src/roster/rosterDecider.ts
+++ b/packages/core/src/roster/rosterDecider.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the roster: an instance joins once it serves, leaves when it has drained, and takes entries of its own
- * failure domain off once they can no longer use their share. Only members of the same domain do that, so a
+ * Proposes changes of the roster, which lists the instances that have a share of the limits. An instance joins once it
+ * serves and removes itself when it has drained. The oldest serving instance of a failure domain also removes silent
+ * entries of the domain, once these can no longer use their share. Only members of the same domain do that, so a
  * domain that is cut off as a whole keeps its shares.
  */
 import type { Fleet, MemberStatus, Ms, RosterEntry } from '@cranberryyard/protocol'
@@ -11,17 +12,20 @@
 import type { MembershipDecider } from '../membership/membershipDecider.js'
 import { byAge } from '../membership/membershipDecider.js'
 
-/** Time that news of a heartbeat may take between two instances of a domain. */
+/** Time that a heartbeat may take to reach another instance of the domain. */
 const PROPAGATION_MS = 300
-/** An entry never heard of is judged only after this instance has listened for so long. */
-const LISTEN_MS = 4000
-/** Claim voters follow the roster once it has been unchanged for this span, so that a wave of joins is one step. */
-const VOTERS_QUIET_MS = 800
+/** An entry without any heartbeat counts as silent only after this instance has observed its domain for this long. */
+const OBSERVATION_MS = 4000
+/**
+ * The claim voters are aligned with the roster once it has been unchanged for this long, so that many joins at once
+ * take one step.
+ */
+const ROSTER_STABLE_MS = 800
 
-/** Decides when roster entries are added and removed. */
+/** Decides when roster entries are added and removed, and when the claim voters change. */
 export class RosterDecider {
-  private listeningSince: Ms | undefined
-  private changedAt: Ms | undefined
+  private observingSince: Ms | undefined
+  private rosterChangedAt: Ms | undefined
 
   constructor (
     private readonly ctx: Context,
@@ -31,14 +35,14 @@
     private readonly claimsReadyEpoch: () => number
   ) {}
 
-  /** Notes when entries last changed. */
+  /** Records when the entries of the roster last changed. */
   fleetAdopted (fleet: Fleet, previous: Fleet): void {
-    if (fleet.roster.epoch !== previous.roster.epoch) this.changedAt = this.ctx.now
+    if (fleet.roster.epoch !== previous.roster.epoch) this.rosterChangedAt = this.ctx.now
   }
 
-  /** Proposes the changes that are due. */
+  /** Proposes the changes that are due in the instance's status. */
   tick (status: MemberStatus): void {
-    this.listeningSince ??= this.ctx.now
+    this.observingSince ??= this.ctx.now
     switch (status) {
       case 'starting': return
       case 'serving':
@@ -50,7 +54,10 @@
     }
   }
 
-  /** @returns true when this life is not on the roster, or the store cannot be reached to take it off */
+  /**
+   * @returns true when this incarnation is not on the roster, or when it cannot be removed because the store is out
+   * of reach
+   */
   hasLeft (): boolean {
     return !this.isListed() || !this.contracts.storeReachable
   }
@@ -67,7 +74,7 @@
     if (this.isListed()) return
     const { holder, instance, incarnation, failureDomain } = this.ctx.self
     const entry = { holder, instance, incarnation, failureDomain, joinedVersion: 0 }
-    this.contracts.propose({ type: 'join', entry, predecessorWaitMs: this.fullWait() })
+    this.contracts.propose({ type: 'join', entry, predecessorWaitMs: this.removalWaitMs() })
   }
 
   private leave (): void {
@@ -78,46 +85,55 @@
 
   private removeSilent (): void {
     if (!this.limits.isAcknowledged || !this.isOldestOfDomain()) return
-    for (const { entry, heardAt } of this.membership.silentInDomain(this.entries())) {
-      if (heardAt === undefined && !this.hasListened()) continue
-      const elapsed = heardAt === undefined ? 0 : this.ctx.now - heardAt
-      const waitMs = ms(Math.max(0, this.fullWait() - elapsed))
+    for (const { entry, lastHeartbeatAt } of this.membership.silentInDomain(this.entries())) {
+      if (lastHeartbeatAt === undefined && !this.hasObservedLongEnough()) continue
+      const elapsed = lastHeartbeatAt === undefined ? 0 : this.ctx.now - lastHeartbeatAt
+      const waitMs = ms(Math.max(0, this.removalWaitMs() - elapsed))
       this.contracts.propose({ type: 'remove', holder: entry.holder, failureDomain: entry.failureDomain, waitMs })
     }
   }
 
-  /** The oldest live entry moves the claim voters on to the roster, one settled step after the other. */
+  /**
+   * The oldest serving instance aligns the claim voters with the roster, one step at a time: each must be ready
+   * before the next.
+   */
   private assignVoters (): void {
     const { claimVoters, roster } = this.contracts.db.fleet
-    const quiet = this.ctx.now - (this.changedAt ?? this.ctx.now) >= VOTERS_QUIET_MS
-    if (!quiet || sameHolders(claimVoters.entries, roster.entries) || !this.isOldestOfRoster()) return
-    if (claimVoters.entries.every(e => this.isSettled(e, claimVoters.epoch))) {
+    const stable = this.ctx.now - (this.rosterChangedAt ?? this.ctx.now) >= ROSTER_STABLE_MS
+    if (!stable || sameHolders(claimVoters.entries, roster.entries) || !this.isOldestServing()) return
+    if (claimVoters.entries.every(e => this.isReadyForEpoch(e, claimVoters.epoch))) {
       this.contracts.propose({ type: 'assignVoters', afterEpoch: claimVoters.epoch })
     }
   }
 
-  /** A voter that is not live cannot vote; its buckets have other holders. */
-  private isSettled (entry: RosterEntry, epoch: number): boolean {
+  /**
+   * Checks whether a voter has the claims it needs for an epoch. A voter that is not live is not waited for: it cannot
+   * vote, and its buckets have other holders.
+   */
+  private isReadyForEpoch (entry: RosterEntry, epoch: number): boolean {
     if (entry.holder === this.ctx.self.holder) return this.claimsReadyEpoch() === epoch
     const member = this.membership.db.get(entry.instance)
     if (member === undefined || member.incarnation !== entry.incarnation || !this.membership.isLive(member)) return true
     return member.claimsReadyEpoch === epoch
   }
 
-  private isOldestOfRoster (): boolean {
+  private isOldestServing (): boolean {
     return this.membership.serving().every(m => byAge(this.ctx.self, m) < 0)
   }
 
-  private hasListened (): boolean {
-    return this.ctx.now - (this.listeningSince ?? this.ctx.now) >= LISTEN_MS
+  private hasObservedLongEnough (): boolean {
+    return this.ctx.now - (this.observingSince ?? this.ctx.now) >= OBSERVATION_MS
   }
 
   private isOldestOfDomain (): boolean {
     return this.membership.liveInDomain().every(m => m.status !== 'serving' || byAge(this.ctx.self, m) < 0)
   }
 
-  /** From the last heartbeat: the acknowledgement ends, then the last task started under the share. */
-  private fullWait (): Ms {
+  /**
+   * How long after its last heartbeat an instance may still run tasks under its share: until its acknowledgement has
+   * ended and then the lease of the last task that it started has run out.
+   */
+  private removalWaitMs (): Ms {
     const { isolationMs, startWindowMs, clockSkewMs, taskLeaseMs } = this.ctx.cfg.limits
     return ms(PROPAGATION_MS + isolationMs + startWindowMs + clockSkewMs + taskLeaseMs)
   }
