--- a/packages/core/src/health/healthDecider.ts
+++ b/packages/core/src/health/healthDecider.ts
@@ -1,7 +1,8 @@
 /**
- * Sets endpoints aside that fail their tasks and lets them earn traffic back by probes. After one failure an
- * endpoint is suspect and gets one task at a time; a second failure, of another job, sets it aside. A kind that
- * fails on several endpoints is blamed itself, so a job that can never run takes no endpoint out of use.
+ * Quarantines endpoints that fail their tasks (state `setAside`) and takes them back into use after a successful probe.
+ * After one failure an endpoint is suspect and gets one task at a time; a second failure, from another job, puts it in
+ * quarantine. If a kind fails on several endpoints, the fault is taken to be the kind's, so that a job that can
+ * never run takes no endpoint out of use.
  */
 import type { EndpointId, SubmissionId } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -10,43 +11,46 @@
 import { HealthDb, PROBE_BACKOFF_MIN_MS } from './healthDb.js'
 import type { HealthEvent, HealthRecord, HealthState } from './types.js'
 
-/** Longest pause between probes. */
+/** Upper bound of the exponential backoff between probes. */
 const PROBE_BACKOFF_MAX_MS = 60_000
-/** A kind that failed on this many endpoints without a success is blamed itself. */
-const KIND_BLAMED_ENDPOINTS = 3
-/** Failures of a kind count towards blaming it for this span. */
-const KIND_BLAME_MS = 10_000
-/** Weight of the newest run in an endpoint's slowness. */
+/** A kind that failed on this many endpoints without a success is at fault itself; its failures do not count against endpoints. */
+const KIND_FAULT_MIN_ENDPOINTS = 3
+/** Only failures of a kind within this window count towards `KIND_FAULT_MIN_ENDPOINTS`. */
+const KIND_FAILURE_WINDOW_MS = 10_000
+/** Weight of the newest run in the moving average of an endpoint's slowness. */
 const SLOWNESS_WEIGHT = 0.1
 
-/** What a report is about. */
+/** The endpoint, job and kind of a task that ended. */
 export interface HealthReport {
   readonly endpoint: EndpointId
   readonly job: SubmissionId
-  /** Customer and kind. */
+  /** Customer and kind in one string, since kinds of two customers may share a name. */
   readonly kind: string
 }
 
-/** Decides which endpoints are fit for work. */
+/** Decides which endpoints get tasks and how many at once. */
 export class HealthDecider {
   readonly db = new HealthDb()
   private readonly chart = new Chart<HealthState, HealthEvent>('endpointHealth')
 
   constructor (private readonly ctx: Context) {}
 
-  /** Starts probes that are due. */
+  /**
+   * Sends the probes that are due.
+   * @param addressOf - looks up an endpoint's address; an endpoint without one is not probed
+   */
   tick (addressOf: (endpoint: EndpointId) => string | undefined): void {
     for (const record of this.db.all()) {
       if (record.state !== 'setAside' || this.ctx.now < record.probeAt) continue
       const address = addressOf(record.endpoint)
       if (address === undefined) continue
-      this.step(record, 'probeDue')
+      this.transition(record, 'probeDue')
       this.ctx.out.count('endpoints.probes')
       this.ctx.out.push({ type: 'probe', endpoint: record.endpoint, address })
     }
   }
 
-  /** @returns how many tasks an endpoint may run at once, given its slots */
+  /** @returns number of tasks that the endpoint may run at once; a suspect endpoint gets one, a quarantined one none */
   allowance (endpoint: EndpointId, slots: number): number {
     switch (this.db.record(endpoint).state) {
       case 'healthy': return slots
@@ -56,52 +60,52 @@
     }
   }
 
-  /** @returns how much slower than normal an endpoint runs; 1 is normal */
+  /** @returns moving average of the ratio of run time to the kind's mean; 1 is normal, more is slower */
   slowness (endpoint: EndpointId): number {
     return this.db.record(endpoint).slowness
   }
 
   /**
-   * Takes a finished task.
-   * @param report - where and what
-   * @param ratio - its run time over the kind's mean
+   * Records a task that ended with a result.
+   * @param report - endpoint, job and kind of the task
+   * @param ratio - the task's run time divided by the kind's mean
    */
   success (report: HealthReport, ratio: number): void {
     this.db.clearKindFailures(report.kind)
     const record = this.db.record(report.endpoint)
     record.slowness += SLOWNESS_WEIGHT * (Math.min(10, ratio) - record.slowness)
     if (record.state === 'healthy') return
-    record.countedJob = undefined
+    record.lastFailedJob = undefined
     record.backoffMs = PROBE_BACKOFF_MIN_MS
-    this.step(record, 'success')
+    this.transition(record, 'success')
   }
 
-  /** Takes a failed or lost task. */
+  /** Records a task that failed or whose outcome was lost. */
   failure (report: HealthReport): void {
     const { now } = this.ctx
-    this.db.noteKindFailure(report.kind, report.endpoint, now)
-    if (this.db.endpointsFailedBy(report.kind, ms(now - KIND_BLAME_MS)) >= KIND_BLAMED_ENDPOINTS) return
+    this.db.recordKindFailure(report.kind, report.endpoint, now)
+    if (this.db.failedEndpointCount(report.kind, ms(now - KIND_FAILURE_WINDOW_MS)) >= KIND_FAULT_MIN_ENDPOINTS) return
     this.countFailure(report.endpoint, report.job)
   }
 
-  /** Takes an endpoint that could not be reached at all; no job is to blame. */
+  /** Records that an endpoint could not be reached; no job can have caused this failure. */
   unreachable (endpoint: EndpointId): void {
     this.countFailure(endpoint, undefined)
   }
 
-  /** Takes a probe's result. */
-  probed (endpoint: EndpointId, healthy: boolean): void {
+  /** Records the result of a probe; after a failed one the backoff until the next doubles. */
+  recordProbeResult (endpoint: EndpointId, healthy: boolean): void {
     const record = this.db.record(endpoint)
-    this.step(record, healthy ? 'probeOk' : 'probeFailed')
+    this.transition(record, healthy ? 'probeOk' : 'probeFailed')
     if (!healthy) this.backOff(record)
   }
 
   private countFailure (endpoint: EndpointId, job: SubmissionId | undefined): void {
     const record = this.db.record(endpoint)
-    if (record.state === 'suspect' && job !== undefined && record.countedJob === job) return
-    record.countedJob = job
+    if (record.state === 'suspect' && job !== undefined && record.lastFailedJob === job) return
+    record.lastFailedJob = job
     const before = record.state
-    this.step(record, 'failure')
+    this.transition(record, 'failure')
     if (record.state !== 'setAside' || before === 'setAside') return
     this.ctx.out.count('endpoints.setAside')
     this.backOff(record)
@@ -112,7 +116,7 @@
     record.backoffMs = Math.min(PROBE_BACKOFF_MAX_MS, record.backoffMs * 2)
   }
 
-  private step (record: HealthRecord, event: HealthEvent): void {
+  private transition (record: HealthRecord, event: HealthEvent): void {
     const next = this.chart.next(record.state, event)
     if (next === undefined || next === record.state) return
     record.state = next
--- a/packages/core/src/health/types.ts
+++ b/packages/core/src/health/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types of the endpoint health decision. States are those of charts/endpointHealth.json.
+ * Types of the endpoint health decision. States and events are those of charts/endpointHealth.json.
  */
 import type { EndpointId, Ms, SubmissionId } from '@cranberryyard/protocol'
 
@@ -10,10 +10,13 @@
 export interface HealthRecord {
   readonly endpoint: EndpointId
   state: HealthState
-  /** Last job whose failure was counted, so that one bad job cannot set an endpoint aside. */
-  countedJob: SubmissionId | undefined
+  /**
+   * Job of the last counted failure. While the endpoint is suspect, further failures of this job are not counted, so that
+   * one faulty job cannot quarantine an endpoint.
+   */
+  lastFailedJob: SubmissionId | undefined
   backoffMs: number
   probeAt: Ms
-  /** Typical ratio of run time to the kind's mean; 1 is normal, more is a straggler. */
+  /** Moving average of the ratio of run time to the kind's mean; 1 is normal, a straggler has more. */
   slowness: number
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Public surface of core: one instance's decisions behind `Instance.handle`, and the pure rules that the command
- * line shares. Nothing here does I/O.
+ * Public API of core: `Instance`, which makes all decisions of an entry instance, its counterpart for instances that own
+ * shards of endpoints, and the pure rules that the command line also uses. Nothing in this package does I/O.
  */
 export { Instance } from './instance/instance.js'
 export type { InstanceOptions } from './instance/instance.js'
--- a/packages/core/src/instance/context.ts
+++ b/packages/core/src/instance/context.ts
@@ -1,23 +1,27 @@
 /**
- * What every decision is given: who it works for, the time of the input at hand, randomness,
- * and the outbox that collects effects and counters.
+ * The context that all deciders of an instance share: the instance's identity, the configuration, the time of the
+ * current input, the random source, and the outbox. The outbox collects effects and counters, so that deciders
+ * need no I/O and a test can replay an input with the same result.
  */
 import type { InstanceId, Ms, PeerMessage } from '@cranberryyard/protocol'
 import type { Random } from '../utils/random.js'
 import type { CoreConfig, Effect, Self } from './types.js'
 
-/** Collects the effects of one input and counters between flushes. */
+/** Collects the effects of the current input, and counters since the start of the instance. */
 export class Outbox {
   private effects: Effect[] = []
   private readonly counters = new Map<string, number>()
 
-  /** @param effect - what the shell is to do */
+  /**
+   * Queues an effect.
+   * @param effect - the action that the shell carries out
+   */
   push (effect: Effect): void {
     this.effects.push(effect)
   }
 
-  /** @returns all effects since the last call */
-  take (): Effect[] {
+  /** @returns the effects queued since the last call, in order; the queue is empty afterwards */
+  takeEffects (): Effect[] {
     const taken = this.effects
     this.effects = []
     return taken
@@ -38,7 +42,7 @@
   }
 }
 
-/** Every counter of core. docs/METRICS.md is checked against this list. */
+/** All counters of core with their help texts. docs/METRICS.md is checked against this list. */
 export const COUNTERS = {
   'jobs.accepted': 'Submissions accepted.',
   'jobs.refused': 'Submissions refused; nothing ran.',
@@ -69,6 +73,7 @@
 /** Name of a counter. */
 export type CounterName = keyof typeof COUNTERS
 
+/** Messages that serve a single job; `messages.control` counts all others. */
 const JOB_MESSAGES: ReadonlySet<PeerMessage['type']> = new Set([
   'forward',
   'forwardCheck',
@@ -82,7 +87,7 @@
   'claimRelease'
 ])
 
-/** Given to every decision with each input. `now` and `wall` are those of the input. */
+/** Shared by all deciders. `now` (monotonic) and `wall` (wall clock) are the times of the current input. */
 export interface Context {
   readonly self: Self
   readonly cfg: CoreConfig
@@ -94,10 +99,10 @@
 
 /**
  * Queues a message to a peer and counts it.
- * @param ctx - the context
+ * @param ctx - context of the sending instance
  * @param to - the receiver
- * @param address - its peer address
- * @param message - what to say
+ * @param address - the receiver's peer address
+ * @param message - the message
  */
 export function sendPeer (ctx: Context, to: InstanceId, address: string, message: PeerMessage): void {
   ctx.out.count('messages.sent')
--- a/packages/core/src/instance/instance.ts
+++ b/packages/core/src/instance/instance.ts
@@ -1,6 +1,7 @@
 /**
- * One entry instance's decisions behind one entry: inputs go in, effects come out. This module only wires the
- * decisions together; what each decides stands in its own folder. No I/O, no timers, no clock of its own.
+ * The entry point of core: `Instance.handle` takes one input and returns the effects that follow from it. This module
+ * creates the deciders, routes inputs and peer messages to them, and keeps the instance's lifecycle state; the rules
+ * are in the deciders' own folders. It does no I/O and has no timers and no clock, so tests run it deterministically.
  */
 import type { Answer, Fleet, InstanceId, MemberStatus, Ms, PeerMessage } from '@cranberryyard/protocol'
 import { holderId, ms } from '@cranberryyard/protocol'
@@ -25,10 +26,10 @@
 import { composeStatus } from './status.js'
 import type { CoreConfig, Effect, Input, Self } from './types.js'
 
-/** What an instance is made from. */
+/** Identity, configuration and random seed of a new instance. */
 export interface InstanceOptions {
   readonly instance: InstanceId
-  /** Start time of the process in milliseconds; larger for a later life. */
+  /** Start time of the process in milliseconds; a restarted process has a larger one. */
   readonly incarnation: number
   readonly failureDomain: Self['failureDomain']
   readonly address: string
@@ -36,10 +37,10 @@
   readonly seed: number
 }
 
-type LifeState = 'starting' | 'serving' | 'leaving' | 'drained'
-type LifeEvent = 'confirmed' | 'leave' | 'empty'
+type LifecycleState = 'starting' | 'serving' | 'leaving' | 'drained'
+type LifecycleEvent = 'confirmed' | 'leave' | 'empty'
 
-/** The decisions of one entry instance. */
+/** All deciders of one entry instance, behind a single input handler. */
 export class Instance {
   readonly ctx: Context
   readonly membership: MembershipDecider
@@ -52,14 +53,14 @@
   readonly deduplication: DeduplicationDecider
   readonly jobs: JobsDecider
   readonly roster: RosterDecider
-  private readonly life = new Chart<LifeState, LifeEvent>('instance')
-  private state: LifeState
+  private readonly lifecycle = new Chart<LifecycleState, LifecycleEvent>('instance')
+  private state: LifecycleState
 
   constructor (options: InstanceOptions) {
     const { instance, incarnation, failureDomain, address, cfg, seed } = options
     const self = { instance, incarnation, failureDomain, address, holder: holderId(instance, incarnation) }
     this.ctx = { self, cfg, random: seededRandom(seed), out: new Outbox(), now: ms(0), wall: ms(0) }
-    this.state = this.life.initial
+    this.state = this.lifecycle.initial
     const { ctx } = this
     this.membership = new MembershipDecider(ctx, () => this.ownReport())
     this.contracts = new ContractsDecider(ctx, this.membership, () => ({ endpoints: this.routing.db.all().map(e => e.info) }))
@@ -75,19 +76,19 @@
 
   /**
    * Handles one input.
-   * @param input - what happened
+   * @param input - the event
    * @param now - monotonic time
    * @param wall - wall-clock time, agreed between machines within the configured skew
-   * @returns what the shell is to do, in order
+   * @returns the actions that the shell carries out, in order
    */
   handle (input: Input, now: Ms, wall: Ms): Effect[] {
     this.ctx.now = now
     this.ctx.wall = wall
     this.dispatch(input)
-    return this.ctx.out.take()
+    return this.ctx.out.takeEffects()
   }
 
-  /** @returns a report for operators; changes nothing */
+  /** @returns the status report for operators; composing it changes no state */
   status (): StatusReport {
     return composeStatus(this, this.state)
   }
@@ -108,14 +109,14 @@
       case 'linkDown': return this.linkDown(input.peer)
       case 'startOutcome': return this.scheduling.startOutcome(input.taskId, input.outcome)
       case 'renewOutcome': return this.scheduling.renewOutcome(input.tasks, input.renewed)
-      case 'probeOutcome': return this.probed(input)
+      case 'probeOutcome': return this.probeOutcome(input)
       case 'storeValue': return this.contracts.storeValue(input.source, input.revision, input.fleet)
       case 'storeUnchanged': return this.contracts.storeUnchanged()
       case 'storeFailed': return this.contracts.storeFailed(input.operation)
       case 'casOutcome': return this.contracts.casOutcome(input.attempt, input.result)
       case 'archiveOutcome': return this.contracts.archiveOutcome(input.through, input.ok)
       case 'instanceList': return this.instanceList(input)
-      case 'peers': return this.fixPeers(input)
+      case 'peers': return this.pinPeerAddresses(input)
       case 'change': return this.contracts.change(input.callId, input.request)
       case 'leave': return this.leave()
     }
@@ -130,7 +131,7 @@
       case 'fleet': return this.contracts.receiveFleet(from, message.fleet, message.storeRevision, message.confirmed)
       case 'forward': return this.receiveForward(from, message.job)
       case 'forwardCancel': return this.scheduling.cancel(message.submissionId)
-      case 'forwardCheck': return this.receiveCheck(from, message)
+      case 'forwardCheck': return this.receiveForwardCheck(from, message)
       case 'forwardReturn': return this.jobs.returned(message.submissionId, from)
       case 'forwardAnswer': return this.jobs.answered(message.answer)
       case 'answerRequest': return this.jobs.receiveQuestion(from, message.customer, message.submissionId, message.replyTo)
@@ -150,7 +151,7 @@
   private tick (): void {
     this.membership.tick()
     this.contracts.tick()
-    this.advanceLife()
+    this.advanceLifecycle()
     this.routing.refresh()
     this.limits.tick()
     this.health.tick(id => this.routing.db.get(id)?.info.address)
@@ -160,16 +161,16 @@
     this.roster.tick(this.memberStatus())
   }
 
-  private advanceLife (): void {
-    if (this.state === 'starting' && this.contracts.confirmed) this.enter('confirmed')
+  private advanceLifecycle (): void {
+    if (this.state === 'starting' && this.contracts.confirmed) this.transition('confirmed')
     if (this.state !== 'leaving') return
     this.scheduling.returnUnstarted()
     const empty = this.scheduling.isEmpty() && this.jobs.db.size() === 0
-    if (empty && !this.limits.hasLent() && this.roster.hasLeft()) this.enter('empty')
+    if (empty && !this.limits.hasLent() && this.roster.hasLeft()) this.transition('empty')
   }
 
-  private enter (event: LifeEvent): void {
-    const next = this.life.next(this.state, event)
+  private transition (event: LifecycleEvent): void {
+    const next = this.lifecycle.next(this.state, event)
     if (next === undefined || next === this.state) return
     this.state = next
     this.ctx.out.push({ type: 'log', event: 'instance.state', fields: { state: next } })
@@ -177,7 +178,7 @@
   }
 
   private leave (): void {
-    this.enter('leave')
+    this.transition('leave')
     this.limits.stopLending()
     this.routing.refresh()
     this.membership.broadcast()
@@ -219,10 +220,11 @@
   }
 
   /**
-   * A front whose connection broke asks what became of a job; what never arrived is given back and never taken later.
-   * Only the life that the job was forwarded to can tell: a later one does not know what the earlier has started.
+   * Answers a front (the instance that accepted a job) that lost its connection and asks for the state of a job that it
+   * forwarded. A job that never arrived is returned to the front, and ignored if it arrives later. Only the incarnation
+   * that the job was forwarded to may answer: a later one does not know which tasks the earlier one has started.
    */
-  private receiveCheck (from: InstanceId, check: Extract<PeerMessage, { type: 'forwardCheck' }>): void {
+  private receiveForwardCheck (from: InstanceId, check: Extract<PeerMessage, { type: 'forwardCheck' }>): void {
     const { scheduler, submissionId, ageMs } = check
     if (scheduler !== this.ctx.self.holder) return
     const state = this.scheduling.checkForwarded(submissionId, ageMs)
@@ -245,12 +247,12 @@
     this.routing.refresh()
   }
 
-  private probed (input: Extract<Input, { type: 'probeOutcome' }>): void {
-    this.health.probed(input.endpoint, input.healthy)
+  private probeOutcome (input: Extract<Input, { type: 'probeOutcome' }>): void {
+    this.health.recordProbeResult(input.endpoint, input.healthy)
     this.scheduling.pump()
   }
 
-  private fixPeers (input: Extract<Input, { type: 'peers' }>): void {
+  private pinPeerAddresses (input: Extract<Input, { type: 'peers' }>): void {
     for (const peer of input.peers) this.membership.db.fixAddress(peer.instance, peer.address)
   }
 
@@ -266,7 +268,7 @@
     const bounds: SchedulingParts['bounds'] = customer => this.contracts.db.contract(customer)?.limits
     return new SchedulingDecider(this.ctx, { limits, routing, health, deadlines, bounds }, {
       jobAnswered: (order, answer) => this.deliver(order, answer),
-      jobReturned: order => this.giveBack(order)
+      jobReturned: order => this.returnJob(order)
     })
   }
 
@@ -284,8 +286,11 @@
     this.membership.tell(order.front, { type: 'forwardAnswer', answer })
   }
 
-  /** A leaving instance places its own jobs with others; with nobody left it says truthfully that they did not run. */
-  private giveBack (order: JobOrder): void {
+  /**
+   * Returns an unstarted job to its front when this instance leaves. A job that this instance accepted itself goes to
+   * another serving instance; without one it fails with a code that says that nothing has run.
+   */
+  private returnJob (order: JobOrder): void {
     if (order.front !== undefined) {
       this.membership.tell(order.front, { type: 'forwardReturn', submissionId: order.submissionId })
       return
--- a/packages/core/src/instance/status.ts
+++ b/packages/core/src/instance/status.ts
@@ -1,12 +1,13 @@
 /**
- * The report behind `cranberryyard status`: plain data, composed from the decisions without changing them.
+ * Composes the report that `cranberryyard status` prints. It reads the state of all deciders and changes none, and
+ * returns plain data, so that the report can be sent as JSON. Member names of the rows are part of the report's format.
  */
 import type { CustomerId, EndpointId, FailureDomain, InstanceId } from '@cranberryyard/protocol'
 import { orderOf } from '../contracts/changeRules.js'
 import type { Instance } from './instance.js'
 import type { TimelinessCount } from './types.js'
 
-/** One known instance. */
+/** One instance of the fleet as this instance knows it. */
 export interface InstanceRow {
   readonly instance: InstanceId
   readonly incarnation: number
@@ -17,7 +18,7 @@
   readonly versionKnown: number
 }
 
-/** One known endpoint as this instance uses it. */
+/** One endpoint as this instance knows and uses it; `order` is the operators' standing order. */
 export interface EndpointRow {
   readonly endpoint: EndpointId
   readonly failureDomain: FailureDomain
@@ -29,7 +30,7 @@
   readonly leaving: boolean
 }
 
-/** One customer as this instance serves it. */
+/** One customer's permits and tasks on this instance; `limit` is the contract's limit for the whole fleet. */
 export interface CustomerRow {
   readonly customer: CustomerId
   readonly revision: number
@@ -41,7 +42,7 @@
   readonly queued: number
 }
 
-/** What an operator sees of one instance. */
+/** The status report of one instance. */
 export interface StatusReport {
   readonly instance: InstanceId
   readonly incarnation: number
@@ -64,10 +65,10 @@
 }
 
 /**
- * Composes the report.
- * @param instance - the decisions
- * @param state - the instance's state
- * @returns plain data
+ * Composes the status report.
+ * @param instance - the instance to report on
+ * @param state - the instance's lifecycle state
+ * @returns plain data without references to the instance's state
  */
 export function composeStatus (instance: Instance, state: string): StatusReport {
   const { ctx, contracts, limits, routing, deduplication, jobs } = instance
--- a/packages/core/src/instance/types.ts
+++ b/packages/core/src/instance/types.ts
@@ -1,6 +1,7 @@
 /**
- * What goes into an entry instance's decisions and what comes out. The shell around core (sockets, timers,
- * platform client) turns the outside world into inputs and carries out effects; a test does the same in memory.
+ * Inputs and effects of an entry instance. The shell around core (sockets, timers, platform client) turns outside
+ * events into inputs and carries out the effects; tests do the same in memory. Core itself depends on these types
+ * alone, not on the shell.
  */
 import type {
   Answer,
@@ -26,10 +27,10 @@
   TaskId
 } from '@cranberryyard/protocol'
 
-/** The part of the settings that decisions depend on. */
+/** The sections of the settings that the deciders read. */
 export type CoreConfig = Pick<Settings, 'limits' | 'membership' | 'platform' | 'routing' | 'deduplication' | 'jobs' | 'operators'>
 
-/** Who this instance is. */
+/** Identity of this instance. `holder` names this incarnation as an owner of leases, shares and claims. */
 export interface Self {
   readonly instance: InstanceId
   readonly incarnation: number
@@ -38,18 +39,18 @@
   readonly address: string
 }
 
-/** Another entry instance as the settings or the platform's list name it. */
+/** Peer address of another entry instance, from the settings or the platform's instance list. */
 export interface PeerAddress {
   readonly instance: InstanceId
   readonly address: string
 }
 
-/** An operator's change as it arrives. */
+/** An operator's change as received, before any check. */
 export type Change =
   | { readonly type: 'contract', readonly contract: Contract, readonly expectedRevision: number }
   | { readonly type: 'endpoint', readonly endpoint: EndpointId, readonly order: EndpointOrder, readonly force: boolean }
 
-/** A change with its id, its sender's key and the reason given. */
+/** A change with its id, the hash of its sender's key and the sender's reason. */
 export interface ChangeRequest {
   readonly changeId: ChangeId
   readonly keyHash: string
@@ -57,13 +58,14 @@
   readonly change: Change
 }
 
-/** How a store call ended; `unknown` means the write may have taken effect. */
+/** Result of a compare-and-swap call to the store; with `unknown` the write may have taken effect. */
 export type CasResult =
   | { readonly type: 'written', readonly revision: number }
   | { readonly type: 'conflict' }
   | { readonly type: 'unavailable' }
   | { readonly type: 'unknown' }
 
+/** An event that the shell reports to core. `callId` identifies the caller's or operator's open request. */
 export type Input =
   | { readonly type: 'tick' }
   | { readonly type: 'submit', readonly callId: string, readonly keyHash: string, readonly job: JobSpec }
@@ -85,14 +87,15 @@
   | { readonly type: 'change', readonly callId: string, readonly request: ChangeRequest }
   | { readonly type: 'leave' }
 
-/** Why a change was accepted or not. */
+/** Result of a change request. */
 export type ChangeResult =
   | { readonly type: 'accepted', readonly version: number, readonly revision: number }
   | { readonly type: 'rejected', readonly error: CodedError }
 
-/** How a request ended, for the count by kind. */
+/** Timeliness of a request's answer, counted by customer and kind. */
 export type Timeliness = 'onTime' | 'late' | 'notAnswered'
 
+/** An action that core asks the shell to carry out. */
 export type Effect =
   | { readonly type: 'accepted', readonly callId: string, readonly submissionId: SubmissionId }
   | { readonly type: 'refused', readonly callId: string, readonly error: CodedError, readonly ran: Ran }
@@ -111,7 +114,7 @@
   | { readonly type: 'state', readonly name: 'serving' | 'leaving' | 'drained' }
   | { readonly type: 'log', readonly event: string, readonly fields: Readonly<Record<string, string | number | boolean>> }
 
-/** One row of the count by customer, kind and timeliness. */
+/** Numbers of requests of one customer and kind, by timeliness. */
 export interface TimelinessCount {
   readonly customer: CustomerId
   readonly kind: string
