--- a/packages/core/src/deadlines/deadlinesDecider.ts
+++ b/packages/core/src/deadlines/deadlinesDecider.ts
@@ -1,30 +1,31 @@
 /**
- * Estimates when a job can be finished, from learned run times rather than declared ones,
- * and decides at admission whether its answer can be on time.
+ * Estimates run times from reports and decides at admission whether a job can still meet its deadline. Reported run times
+ * take precedence over declared ones once there are enough of them. The decision is separate from scheduling, because it
+ * needs only an estimate and the amount of work ahead.
  */
 import type { KindTerms, TaskSpec } from '@cranberryyard/protocol'
 import { DeadlinesDb } from './deadlinesDb.js'
 import type { KindRef, RunTimeEstimate } from './types.js'
 
-/** Reports needed before learned run times replace declared ones. */
-const REPORTS_NEEDED = 20
-/** Refused only when the estimate is above the time left by this factor; estimates err to both sides. */
-const CERTAINTY_FACTOR = 1.5
+/** Number of reports from which estimates use reported instead of declared run times. */
+const MIN_REPORTS = 20
+/** A job is refused only if its estimate exceeds the remaining time by this factor, because estimates err in both directions. */
+const REFUSAL_MARGIN = 1.5
 
-/** Decides whether an answer can be on time. */
+/** Estimates run times and decides whether a deadline can be met. */
 export class DeadlinesDecider {
   readonly db = new DeadlinesDb()
 
   /**
    * Estimates the run time of a kind.
    * @param ref - customer and kind
-   * @param terms - the contract's terms, used until enough is learned
-   * @param tasks - declared run times, used before the contract's
-   * @returns mean and 99th percentile in milliseconds
+   * @param terms - the contract's terms; their run time stands in for tasks that declare none
+   * @param tasks - the job's tasks; their declared run times are used until there are enough reports
+   * @returns mean and 99th percentile in milliseconds; for declared run times the maximum replaces the percentile
    */
   estimate (ref: KindRef, terms: KindTerms, tasks: readonly TaskSpec[]): RunTimeEstimate {
     const learned = this.db.histogram(ref)
-    if (learned !== undefined && learned.totalCount >= REPORTS_NEEDED) {
+    if (learned !== undefined && learned.totalCount >= MIN_REPORTS) {
       return { meanMs: learned.mean, p99Ms: learned.getValueAtPercentile(99) }
     }
     const declared = tasks.map(t => t.runMs ?? terms.runMs)
@@ -33,17 +34,17 @@
   }
 
   /**
-   * Tells whether a job can surely not be answered on time.
-   * @param estimate - run time of its tasks
+   * Decides whether a job will miss its deadline even if the estimate is too high by `REFUSAL_MARGIN`.
+   * @param estimate - run time of the job's tasks
    * @param tasks - number of tasks
-   * @param aheadMs - work that waits or runs before it, in slot milliseconds
-   * @param slots - slots that serve it
-   * @param remainingMs - time left
-   * @returns true when it would be late
+   * @param workAheadMs - work that waits or runs ahead of the job, in slot milliseconds
+   * @param slots - number of slots that serve the job
+   * @param remainingMs - time until the deadline
+   * @returns true when admission should refuse the job
    */
-  isHopeless (estimate: RunTimeEstimate, tasks: number, aheadMs: number, slots: number, remainingMs: number): boolean {
+  isHopeless (estimate: RunTimeEstimate, tasks: number, workAheadMs: number, slots: number, remainingMs: number): boolean {
     const waves = Math.max(1, Math.ceil(tasks / Math.max(1, slots)))
-    const expected = aheadMs / Math.max(1, slots) + waves * estimate.meanMs
-    return expected > remainingMs * CERTAINTY_FACTOR
+    const expected = workAheadMs / Math.max(1, slots) + waves * estimate.meanMs
+    return expected > remainingMs * REFUSAL_MARGIN
   }
 }
--- a/packages/core/src/deadlines/types.ts
+++ b/packages/core/src/deadlines/types.ts
@@ -3,13 +3,13 @@
  */
 import type { CustomerId } from '@cranberryyard/protocol'
 
-/** What is known of one kind's run time. */
+/** Estimated run time of one task of a kind, in milliseconds. */
 export interface RunTimeEstimate {
   readonly meanMs: number
   readonly p99Ms: number
 }
 
-/** Names a kind of one customer. */
+/** Identifies a kind; kinds of different customers may share a name. */
 export interface KindRef {
   readonly customer: CustomerId
   readonly kind: string
