--- a/packages/protocol/src/dispatch.ts
+++ b/packages/protocol/src/dispatch.ts
@@ -1,24 +1,26 @@
 /**
- * What a dispatcher that owns shards of endpoints works with: the desired state, endpoints as they report themselves,
- * jobs with steps, and the orders that endpoints take. Names on any wire are translated into these types.
+ * Types of the dispatcher that owns shards of endpoints: the desired state, endpoint reports, jobs with steps, and the
+ * orders sent to endpoints. The interfaces to callers, endpoints and the store use other names; their adapters translate
+ * into these types. A front is the instance that accepted a job from its caller; an owner is the instance that starts
+ * tasks on a failure domain's endpoints.
  */
 import type { Brand, EndpointId, FailureDomain, InstanceId } from './ids.js'
 import type { Ms } from './clock.js'
 
-/** Id of a job, chosen by its caller; the same when the caller sends the job again. */
+/** Id of a job, chosen by its caller. A resubmitted job keeps its id. */
 export type JobId = Brand<string, 'JobId'>
-/** One task of a job as endpoints know it; the same for every run of the task. */
+/** Name under which endpoints know a task; all runs of the task share it. */
 export type TaskName = Brand<string, 'TaskName'>
-/** Name of a queue of the desired state. */
+/** Name of a queue in the desired state. */
 export type QueueName = Brand<string, 'QueueName'>
-/** Name of a service: the endpoints that run a queue's tasks. */
+/** Name of a service, the group of endpoints that runs a queue's tasks. */
 export type ServiceName = Brand<string, 'ServiceName'>
-/** Number that endpoints compare: orders with a lower one than they have seen are refused. */
+/** Fencing token of a shard's owner. An endpoint refuses an order whose token is lower than the highest it has seen. */
 export type FencingToken = Brand<number, 'FencingToken'>
-/** A time on one endpoint's own clock, which starts with the endpoint. */
+/** A time on the clock of one endpoint, which starts when the endpoint starts. */
 export type EndpointClockMs = Brand<number, 'EndpointClockMs'>
 
-/** Room that a task takes or an endpoint has. */
+/** Resources that a task needs or an endpoint has. */
 export interface Resources {
   /** Thousandths of a core. */
   readonly cpuMilli: number
@@ -26,39 +28,39 @@
   readonly accelerators: number
 }
 
-/** Terms of one queue. */
+/** Configuration of one queue. */
 export interface QueueTerms {
   readonly name: QueueName
   readonly host: string
   readonly prefix: string
   readonly service: ServiceName
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number
-  /** Failed runs of a task after which its job fails. */
+  /** Number of failed runs of one task after which its job fails. */
   readonly maxAttempts: number
-  /** Factor of the job's own work within which the caller wants the answer. */
+  /** The answer is on time within this factor times the run time of the job's longest chain of steps, plus `latencyObjectiveMs`. */
   readonly stretch: number
-  /** Added to the stretched work. */
+  /** Fixed part of the time within which the answer is on time. */
   readonly latencyObjectiveMs: Ms
-  /** The endpoints that may run a step are decided by an outside service. */
+  /** An external service decides which endpoints may run a step. */
   readonly needsAdvice: boolean
 }
 
-/** Terms of one service. */
+/** Configuration of one service. */
 export interface ServiceTerms {
   readonly name: ServiceName
-  /** True when endpoints themselves refuse what exceeds their capacity. */
+  /** Whether the endpoints refuse tasks that exceed their capacity. */
   readonly guardsCapacity: boolean
 }
 
-/** One version of what operators want, in full. */
+/** One complete version of the operators' configuration of queues and services. */
 export interface DesiredState {
   readonly version: number
   readonly queues: readonly QueueTerms[]
   readonly services: readonly ServiceTerms[]
 }
 
-/** An endpoint as it reports itself. */
+/** What an endpoint reports about itself. */
 export interface EndpointReport {
   readonly id: EndpointId
   readonly service: ServiceName
@@ -67,29 +69,29 @@
   readonly draining: boolean
   readonly capacity: Resources
   readonly labels: readonly string[]
-  /** Wall-clock start of this life of the endpoint; another value means that it knows nothing of before. */
+  /** Wall-clock start of this incarnation of the endpoint. When the value changes, the endpoint has lost its earlier state. */
   readonly bornAt: number
 }
 
-/** A step of a job: equal tasks that start once all steps before it are done. */
+/** A step of a job: identical tasks that may start once all steps in `after` are done. */
 export interface StepSpec {
   readonly count: number
   readonly needs: Resources
   readonly estimateMs: Ms
-  /** Numbers of the steps that must be done first. */
+  /** Indexes of the steps that must be done before this one starts. */
   readonly after: readonly number[]
-  /** Label that the endpoint must have; empty for none. */
+  /** Label that an endpoint must have to run the step; empty when there is no such requirement. */
   readonly requiredLabel: string
-  /** Label of the rack near the data; empty for none. */
+  /** Label of the rack near the step's data; empty when there is no preference. */
   readonly preferredRack: string
-  /** Most tasks of the step on one endpoint; 0 for any number. */
+  /** Upper bound of the step's tasks on one endpoint; 0 means no bound. */
   readonly maxPerEndpoint: number
 }
 
-/** What a job needs that a dispatcher may not offer. */
+/** Features that a job may require and a dispatcher need not support. */
 export type JobFeature = 'stored' | 'gang' | 'longRunning' | 'repeated' | 'fills'
 
-/** A job as its caller sent it. */
+/** A job as sent by its caller. */
 export interface JobRequest {
   readonly id: JobId
   readonly spec: string
@@ -97,43 +99,43 @@
   readonly features: readonly JobFeature[]
 }
 
-/** A job on its way from the instance that took it to the owner of endpoints. */
+/** A job forwarded by its front to the owner of a shard. */
 export interface DispatchOrder {
   readonly job: JobRequest
   readonly queue: QueueTerms
-  /** How long ago the front received the job. */
+  /** Time since the front received the job. */
   readonly ageMs: Ms
-  /** How long the caller still waits. */
+  /** Time until the caller stops waiting. */
   readonly remainingMs: Ms
-  /** Counts how often the front sent the job; a decline of an earlier copy says nothing about a later one. */
+  /** Number of times that the front has sent the job. A decline repeats it, since it applies to that copy only. */
   readonly attempt: number
-  /** Runs of an earlier owner may still exist. */
+  /** True when runs started by an earlier owner may still exist. */
   readonly resumed: boolean
-  /** Tasks known to be done, as `step.index`. */
+  /** Tasks known to be done, each as `step.index`. */
   readonly done: readonly string[]
 }
 
-/** How a run ended at an endpoint. */
+/** How a run ended on an endpoint; `lapsed` means that its lease expired. */
 export type RunEnd = 'done' | 'failed' | 'stopped' | 'lapsed'
 
-/** A run that an endpoint lists. */
+/** A run in progress in an endpoint's listing. */
 export interface ListedRun {
   readonly task: TaskName
   readonly run: number
-  /** Share of the work that is done, 0 to 100. */
+  /** Progress of the run, 0 to 100. */
   readonly percent: number
 }
 
-/** An end that an endpoint lists until it is acknowledged. */
+/** An ended run, which the endpoint lists until the owner has acknowledged it. */
 export interface ListedEnd {
-  /** Position in the endpoint's list; rises within one life. */
+  /** Position in the endpoint's list of ended runs; increases within one incarnation. */
   readonly sequence: number
   readonly task: TaskName
   readonly run: number
   readonly how: RunEnd
 }
 
-/** What an endpoint lists about itself. */
+/** The runs of an endpoint at one time of its clock. */
 export interface EndpointListing {
   readonly clock: EndpointClockMs
   readonly bornAt: number
@@ -141,60 +143,60 @@
   readonly ended: readonly ListedEnd[]
 }
 
-/** Why an order had no answer that counts. */
+/** Why an order to an endpoint got no usable answer. */
 export type OrderFailure =
-  /** A newer token was seen by the endpoint. */
+  /** The endpoint has seen a higher fencing token. */
   | 'fenced'
-  /** The address belongs to another life of the endpoint. */
+  /** Another incarnation of the endpoint answers at the address. */
   | 'otherLife'
-  /** Nobody listens at the address; the endpoint runs nothing. */
+  /** The connection was refused: no process listens at the address, so the endpoint runs nothing. */
   | 'refused'
-  /** No answer in time; the order may still take effect. */
+  /** The request timed out; the order may still take effect. */
   | 'silent'
-  /** The endpoint says that it is unhealthy and has done nothing. */
+  /** The endpoint reported that it is unhealthy and has not carried out the order. */
   | 'unhealthy'
-  /** The answer could not be understood. */
+  /** The answer could not be parsed. */
   | 'unreadable'
 
-/** How a hold ended. */
+/** Outcome of a hold, the request that returns an endpoint's listing and, while tasks run there, renews the lease on it. */
 export type HoldOutcome =
   | { readonly type: 'listed', readonly listing: EndpointListing }
   | { readonly type: OrderFailure }
 
-/** How a start ended. */
+/** Outcome of a start order. */
 export type TaskStartOutcome =
   | { readonly type: 'started', readonly clock: EndpointClockMs }
-  /** Not higher than a run that was stopped or has ended there. */
+  /** The run number is not higher than that of a run which was stopped or has ended there. */
   | { readonly type: 'oldRun' }
-  /** Arrived after its own deadline. */
+  /** The order arrived after its `notAfter` time. */
   | { readonly type: 'late' }
   | { readonly type: 'noRoom' }
   | { readonly type: 'invalid' }
   | { readonly type: OrderFailure }
 
-/** How a stop ended. */
+/** Outcome of a stop order. */
 export type TaskStopOutcome =
   | { readonly type: 'stopping' }
   | { readonly type: OrderFailure }
 
-/** An entry instance as it registers itself in the store. */
+/** Registration of an entry instance in the store. */
 export interface MemberRecord {
   readonly instance: InstanceId
   readonly incarnation: number
   readonly failureDomain: FailureDomain
   readonly address: string
-  /** Processor time that the instance may use, in thousandths of a core; owners need the most. */
+  /** CPU limit of the instance in thousandths of a core. Owners need the most CPU. */
   readonly cpuMilli: number
 }
 
-/** Who owns the endpoints of a failure domain, and who follows if the owner is lost, in order. */
+/** The owner of a failure domain's endpoints, and its successors in the order in which they may take over. */
 export interface ShardRecord {
   readonly failureDomain: FailureDomain
   readonly owner: MemberRecord
   readonly successors: readonly InstanceId[]
 }
 
-/** A record with the revision at which it was read. */
+/** A stored value with the revision at which it was read. */
 export interface Revised<T> {
   readonly revision: number
   readonly value: T
--- a/packages/protocol/src/endpointApi.ts
+++ b/packages/protocol/src/endpointApi.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints' interface, published in docs/ENDPOINT.md. One start and one answer a task;
- * a refusal is an answer that promises the task has not started.
+ * The endpoints' HTTP API, published in docs/ENDPOINT.md. Each task has one start request and one answer. A refusal is an
+ * answer that guarantees that this request has not started the task.
  */
 import type { EndpointId, FailureDomain, TaskId } from './ids.js'
 import type { Ms } from './clock.js'
@@ -8,9 +8,9 @@
 /** Body of `POST /v1/start`. */
 export interface StartRequest {
   readonly taskId: TaskId
-  /** Instance that answers for the task and renews its lease. */
+  /** Holder id of the instance that is responsible for the task and renews its lease. */
   readonly holder: string
-  /** The endpoint ends the task when no renewal arrives within this span. */
+  /** The endpoint ends the task when no renewal arrives within this time. */
   readonly leaseMs: Ms
   /** Wall-clock time after which the endpoint must refuse the start. */
   readonly notAfter: Ms
@@ -20,10 +20,13 @@
   readonly payload: unknown
 }
 
-/** Why an endpoint refused a start; none of these has started the task. */
+/**
+ * Why an endpoint refused a start. The refused request has not started the task; `known` means that the endpoint already
+ * knows the task from an earlier request.
+ */
 export type RefusalReason = 'busy' | 'expired' | 'leaving' | 'tooLarge' | 'known'
 
-/** What the holder of a task learns. `unknown` means that the request was sent and no answer came. */
+/** Outcome of a start as its holder sees it. `unknown` means that the request was sent and no answer arrived, so the task may have run. */
 export type StartOutcome =
   | { readonly type: 'done', readonly result: unknown, readonly runMs: number }
   | { readonly type: 'failed', readonly message: string, readonly runMs: number }
@@ -39,7 +42,7 @@
   readonly notAfter: Ms
 }
 
-/** What the platform says of an endpoint. */
+/** An endpoint in the platform's instance list. */
 export interface EndpointInfo {
   readonly id: EndpointId
   readonly failureDomain: FailureDomain
--- a/packages/protocol/src/fleet.ts
+++ b/packages/protocol/src/fleet.ts
@@ -1,32 +1,32 @@
 /**
- * The one value that the fleet agrees on, kept in the platform's store under one key and changed by
- * compare-and-swap only: roster, contracts, endpoint orders and the audit trail. Because it is one value,
- * a change and its audit entry cannot exist without each other and its version cannot go back.
+ * The fleet value: roster, claim voters, contracts, endpoint orders and the audit trail. It is stored under a single key of
+ * the platform's store and changed only by compare-and-swap. Because it is one value, a change and its audit entry are
+ * written atomically, and its version cannot decrease.
  */
 import type { Contract } from './contract.js'
 import type { ChangeId, CustomerId, EndpointId, FailureDomain, HolderId, InstanceId } from './ids.js'
 import type { Ms } from './clock.js'
 
-/** One life of an entry instance that holds a share of every limit. */
+/** One incarnation of an entry instance; each entry of the roster has a share of every limit. */
 export interface RosterEntry {
   readonly holder: HolderId
   readonly instance: InstanceId
   readonly incarnation: number
   readonly failureDomain: FailureDomain
-  /** Fleet version in which this entry first appeared. */
+  /** Fleet version that added this entry. */
   readonly joinedVersion: number
 }
 
-/** An entry taken off the roster; its share may be used again only after the wait. */
+/** An entry removed from the roster. Others may use its share only after `waitMs`. */
 export interface RosterRemoval {
   readonly holder: HolderId
   readonly failureDomain: FailureDomain
-  /** Fleet version that took it off. */
+  /** Fleet version that removed the entry. */
   readonly version: number
   readonly waitMs: Ms
 }
 
-/** Who holds shares and claims; the epoch grows with every change of entries. */
+/** The incarnations among which limits are divided. The epoch increases with every change of entries. */
 export interface Roster {
   readonly epoch: number
   readonly entries: readonly RosterEntry[]
@@ -34,26 +34,26 @@
 }
 
 /**
- * Who votes on claims. It follows the roster in steps: the next step is taken only when every live voter has
- * collected the claims of its buckets, so that no earlier claim is lost on the way.
+ * The incarnations that vote on claims. They follow the roster in steps: the next step is taken only when every live voter
+ * has imported the claims of its buckets, so that no earlier claim is lost.
  */
 export interface ClaimVoters {
   readonly epoch: number
   readonly entries: readonly RosterEntry[]
-  /** Entries of the epoch before, whose claims new holders take over. */
+  /** Voters of the previous epoch, from which new voters import claims. */
   readonly previousEntries: readonly RosterEntry[]
 }
 
-/** A contract with its own revision, which grows by one with every accepted change. */
+/** A contract with its revision, which increases by one with every accepted change. */
 export interface ContractRecord {
   readonly revision: number
   readonly contract: Contract
 }
 
-/** What operators ordered for an endpoint. */
+/** An operator's order for an endpoint. */
 export type EndpointOrder = 'active' | 'draining' | 'stopped'
 
-/** An operator's standing order for one endpoint. */
+/** The order in force for one endpoint, with its author, time and reason. */
 export interface EndpointRecord {
   readonly endpoint: EndpointId
   readonly order: EndpointOrder
@@ -62,16 +62,16 @@
   readonly reason: string
 }
 
-/** What an audit entry is about. */
+/** The contract or endpoint that an audit entry concerns. */
 export type AuditSubject =
   | { readonly type: 'contract', readonly customer: CustomerId, readonly revision: number }
   | { readonly type: 'endpoint', readonly endpoint: EndpointId }
 
-/** One accepted change. `hash` covers the entry and `previousHash`, so a removed or edited entry shows. */
+/** One accepted change. `hash` covers the entry and `previousHash`, so that a removed or edited entry is detected. */
 export interface AuditEntry {
   readonly sequence: number
   readonly changeId: ChangeId
-  /** Hash of the change as it was sent; the same id with another content is a replay. */
+  /** Hash of the change as sent. A request with the same `changeId` and another hash is rejected as a replay. */
   readonly contentHash: string
   readonly by: string
   readonly at: Ms
@@ -84,14 +84,14 @@
   readonly hash: string
 }
 
-/** Audit entries still in the fleet value; older ones are archived in chunks before they leave it. */
+/** Audit entries that are still in the fleet value. Older ones are archived in chunks before they are removed from it. */
 export interface AuditTail {
   readonly archivedThrough: number
   readonly archivedHash: string
   readonly entries: readonly AuditEntry[]
 }
 
-/** The agreed value. */
+/** The fleet value. */
 export interface Fleet {
   readonly version: number
   readonly roster: Roster
@@ -101,10 +101,10 @@
   readonly audit: AuditTail
 }
 
-/** Hash that the first audit entry refers to. */
+/** `previousHash` of the first audit entry. */
 export const AUDIT_ROOT_HASH = '0'.repeat(64)
 
-/** The value before anything was written. */
+/** The fleet value before the first write. */
 export const EMPTY_FLEET: Fleet = {
   version: 0,
   roster: { epoch: 0, entries: [], removals: [] },
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,7 @@
-/** Public surface of the protocol package: ids, codes, schemas and message types. No behaviour of the fleet. */
+/**
+ * Public API of the protocol package: ids, result codes, schemas and message types that the other packages share. It contains
+ * no dispatch logic, so that clients and test doubles can depend on it alone.
+ */
 export * from './ids.js'
 export * from './clock.js'
 export * from './resultCodes.js'
--- a/packages/protocol/src/peerMessages.ts
+++ b/packages/protocol/src/peerMessages.ts
@@ -1,15 +1,15 @@
 /**
- * Messages between entry instances. All are one-way; a reply is a message of its own.
+ * Messages between entry instances. All are one-way; a reply is a separate message. Member names are sent as they are.
  */
 import type { Answer, JobSpec } from './callerApi.js'
 import type { Fleet } from './fleet.js'
 import type { CustomerId, FailureDomain, HolderId, InstanceId, RequestId, SubmissionId } from './ids.js'
 import type { Ms } from './clock.js'
 
-/** How an instance presents itself. */
+/** Lifecycle status that an instance announces to its peers. */
 export type MemberStatus = 'starting' | 'serving' | 'leaving'
 
-/** What one instance knows of another. `heartbeat` grows with every round of its owner. */
+/** One instance's gossip entry. The instance it describes increases `heartbeat` with every heartbeat that it sends. */
 export interface MemberEntry {
   readonly instance: InstanceId
   readonly incarnation: number
@@ -17,23 +17,23 @@
   readonly address: string
   readonly heartbeat: number
   readonly status: MemberStatus
-  /** Fleet version whose limits the instance keeps to in full. */
+  /** Fleet version whose limits the instance fully complies with. */
   readonly versionInForce: number
   /** Newest fleet version that the instance knows. */
   readonly versionKnown: number
-  /** Epoch of claim voters for which the instance has collected all claims of its buckets. */
+  /** Epoch of claim voters for which the instance has imported all claims of its buckets. */
   readonly claimsReadyEpoch: number
   /** Tasks waiting in the instance's scheduler. */
   readonly backlog: number
 }
 
-/** A range of one customer's permits, in a request or a grant. */
+/** Number of permits of one customer that a lender grants. */
 export interface PermitCount {
   readonly customer: CustomerId
   readonly count: number
 }
 
-/** What a borrower keeps and what it would like to have, of one customer's permits. */
+/** A borrower's request for one customer: permits that it already holds and keeps (`hold`), and the total that it wants (`want`). */
 export interface PermitWish {
   readonly customer: CustomerId
   readonly hold: number
@@ -45,26 +45,27 @@
   readonly customer: CustomerId
   readonly requestId: RequestId
   readonly submissionId: SubmissionId
-  /** Remaining life of the claim when the message was sent. */
+  /** Time until the claim expires, counted from when the message was sent. */
   readonly ttlMs: Ms
 }
 
-/** A job on its way from the instance that accepted it to the one that schedules it. */
+/** A job forwarded by the instance that accepted it to the instance that schedules it. */
 export interface ForwardedJob {
   readonly submissionId: SubmissionId
   readonly customer: CustomerId
   readonly job: JobSpec
-  /** Time left until the contract's answer time is over. */
+  /** Time until the deadline that follows from the contract's `answerWithinMs`. */
   readonly remainingMs: Ms
 }
 
-/** How a claim holder voted. */
+/** A voter's answer to a claim request; `by` is the earlier submission that holds the claim. */
 export type ClaimVerdict =
   | { readonly type: 'granted' }
   | { readonly type: 'taken', readonly by: SubmissionId }
   | { readonly type: 'notReady' }
   | { readonly type: 'staleEpoch' }
 
+/** Any message between entry instances. */
 export type PeerMessage =
   | { readonly type: 'gossip', readonly entries: readonly MemberEntry[], readonly fleetVersion: number }
   | { readonly type: 'fleetRequest' }
--- a/packages/protocol/src/resultCodes.ts
+++ b/packages/protocol/src/resultCodes.ts
@@ -1,8 +1,9 @@
 /**
- * Numbered result codes, one table for callers and operators. docs/RESULT-CODES.md explains each row
- * and is checked against this table by a test.
+ * The result codes of the APIs for callers and operators, in one table. docs/RESULT-CODES.md explains each code; a test
+ * checks it against this table.
  *
- * 0 success; 1xxx refused, nothing ran; 2xxx failed, something ran or may have run; 3xxx lookup; 4xxx operators.
+ * Ranges: 0 success; 1xxx refused, nothing ran; 2xxx failed, tasks ran or may have run; 3xxx lookup of a submission;
+ * 4xxx operators' requests.
  */
 export const RESULT_CODES = {
   complete: 0,
@@ -53,10 +54,10 @@
 /** Number of a result code. */
 export type ResultCode = typeof RESULT_CODES[ResultName]
 
-/** Whether any task of a submission ran: `no` only when it is known. */
+/** Whether any task of a submission ran. `no` is used only when this is certain. */
 export type Ran = 'no' | 'maybe' | 'yes'
 
-/** A typed error: a numbered code, one sentence, and the field it concerns if any. */
+/** An error with a result code, a message of one sentence, and the input field that it concerns, if any. */
 export interface CodedError {
   readonly code: ResultCode
   readonly name: ResultName
@@ -65,11 +66,11 @@
 }
 
 /**
- * Builds a typed error.
- * @param name - row of the table
- * @param message - one sentence for a person
- * @param field - the input field at fault
- * @returns the error
+ * Builds an error from the name of a result code.
+ * @param name - name in `RESULT_CODES`
+ * @param message - one sentence for the caller or operator
+ * @param field - the invalid input field
+ * @returns the error with the code's number
  */
 export function codedError (name: ResultName, message: string, field?: string): CodedError {
   const base = { code: RESULT_CODES[name], name, message }
@@ -77,8 +78,8 @@
 }
 
 /**
- * Tells whether a code says that nothing ran.
+ * Checks whether a result code means that no task ran.
  * @param code - a result code
- * @returns true for refusals
+ * @returns true for the 1xxx codes (refusals)
  */
 export const isNotRun = (code: ResultCode): boolean => code >= 1000 && code < 2000
--- a/packages/protocol/src/settings.ts
+++ b/packages/protocol/src/settings.ts
@@ -1,5 +1,6 @@
 /**
- * Settings of one entry instance, defined once. Types and docs/SETTINGS.md follow from this schema.
+ * Schema of the settings of one entry instance. It is the only definition: types are inferred from it, and
+ * docs/SETTINGS.md follows from its names, defaults and descriptions.
  */
 import { z } from 'zod'
 
@@ -111,5 +112,5 @@
   operators: operatorsSchema.prefault({})
 })
 
-/** Checked settings. */
+/** Validated settings with all defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>
--- a/packages/protocol/src/shardMessages.ts
+++ b/packages/protocol/src/shardMessages.ts
@@ -1,32 +1,33 @@
 /**
- * Messages between instances that own shards of endpoints and the fronts that send them jobs.
+ * Messages between owners of shards (the endpoints of a failure domain) and fronts, the instances that accept jobs from
+ * callers and forward them to owners. Member names are sent as they are.
  */
 import type { DesiredState, DispatchOrder, FencingToken, JobId } from './dispatch.js'
 import type { FailureDomain, InstanceId } from './ids.js'
 import type { Ms } from './clock.js'
 
-/** Load of a shard as its owner sees it. */
+/** Load of a shard, as reported by its owner. */
 export interface ShardLoad {
-  /** Expected wait of a job that arrives now. */
+  /** Expected queueing time of a job that arrives now. */
   readonly waitMs: Ms
-  /** Share of the usable room that is taken, 0 to 1. */
+  /** Fraction of the usable capacity that is in use, 0 to 1. */
   readonly busyShare: number
 }
 
-/** What an owner says of one shard. */
+/** An owner's report on one of its shards. */
 export interface OwnedShard {
   readonly failureDomain: FailureDomain
   readonly token: FencingToken
   readonly load: ShardLoad
 }
 
-/** What an owner says of a shard that another instance owns and that it hears from directly. */
+/** An owner's report on a shard of another owner, with which it has direct contact. */
 export interface OtherShard extends OwnedShard {
   readonly owner: InstanceId
   readonly address: string
 }
 
-/** Tasks of a job that are done, as `step.index`. */
+/** The tasks of a job that are done, each as `step.index`. */
 export interface JobProgress {
   readonly jobId: JobId
   readonly done: readonly string[]
@@ -35,27 +36,28 @@
 /** How a job ended at its owner. */
 export type JobOutcome = 'completed' | 'failed'
 
+/** Any message between fronts and owners. */
 export type ShardMessage =
-  /** Front to an owner that it has not heard for a while. */
+  /** From a front to an owner from which it has not received anything for a while. */
   | { readonly type: 'ping', readonly incarnation: number, readonly address: string, readonly desiredVersion: number }
-  /** Answer to a ping; also sent along with what an owner tells a front. */
+  /** Answer to a ping; an owner also sends it along with its other messages to a front. */
   | { readonly type: 'pong', readonly incarnation: number, readonly owned: readonly OwnedShard[], readonly others: readonly OtherShard[], readonly desiredVersion: number }
-  /** A new owner makes itself known. */
+  /** Announces a new owner. */
   | { readonly type: 'announce', readonly incarnation: number, readonly address: string, readonly failureDomain: FailureDomain, readonly token: FencingToken }
-  /** A job for the owner of a failure domain's endpoints. */
+  /** Forwards a job to the owner of a failure domain's endpoints. */
   | { readonly type: 'submit', readonly incarnation: number, readonly address: string, readonly failureDomain: FailureDomain, readonly order: DispatchOrder }
-  /** Front to owner: are these jobs still known? */
+  /** From a front to an owner: asks whether the owner still knows these jobs. */
   | { readonly type: 'checkJobs', readonly failureDomain: FailureDomain, readonly jobIds: readonly JobId[] }
-  /** The caller left. */
+  /** The caller no longer waits for the job. */
   | { readonly type: 'cancelJob', readonly jobId: JobId }
   | { readonly type: 'ended', readonly jobId: JobId, readonly outcome: JobOutcome }
   /** No task of the job has started and none will. */
   | { readonly type: 'declined', readonly jobId: JobId, readonly attempt: number, readonly retryAfterMs: Ms }
-  /** The receiver does not own the shard or does not know the job. */
+  /** The sender of this message does not own the shard or does not know the job. */
   | { readonly type: 'notOwner', readonly jobId: JobId, readonly failureDomain: FailureDomain }
-  /** The owner leaves; its jobs go on under the successor. */
+  /** The sender has given up the shard. `to` is the successor that continues the jobs, or the sender itself if it knows none. */
   | { readonly type: 'moved', readonly failureDomain: FailureDomain, readonly to: InstanceId, readonly progress: readonly JobProgress[] }
-  /** The owner asks its successor to take over at once. */
+  /** The owner asks its successor to take over the shard immediately. */
   | { readonly type: 'handover', readonly failureDomain: FailureDomain, readonly revision: number, readonly rank: number }
   | { readonly type: 'desiredRequest' }
   | { readonly type: 'desired', readonly state: DesiredState }
--- a/packages/protocol/src/tomlFile.ts
+++ b/packages/protocol/src/tomlFile.ts
@@ -1,11 +1,12 @@
 /**
- * Reads TOML text against a schema and reports every fault at once, each with its key and line.
+ * Parses TOML text, validates it against a schema and reports all faults at once, each with its key and line. Schema
+ * validation has no line numbers, so this module searches the text for each invalid key.
  */
 import { TomlError, parse } from 'smol-toml'
 import { Result } from 'true-myth'
 import type { z } from 'zod'
 
-/** One fault in a TOML file; line numbers start at 1, 0 when no line could be found. */
+/** One fault in a TOML file. Line numbers start at 1; 0 means that the line is unknown. */
 export interface TomlFault {
   readonly key: string
   readonly line: number
@@ -14,7 +15,7 @@
 
 const escapeRegExp = (text: string): string => text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&')
 
-/** Finds the nth `[[table]]` or the `[table]` header, then the key below it. */
+/** Follows the path through the text: finds each `[table]` or nth `[[table]]` header, then the key below it. */
 function lineOf (text: string, path: readonly PropertyKey[]): number {
   const lines = text.split('\n')
   let from = 0
@@ -29,31 +30,32 @@
   return from + (path.length > 0 ? 1 : 0)
 }
 
+/** Finds the index of the first line from `from` on that assigns the key, or of the nth header of that name; -1 if there is none. */
 function findLine (lines: readonly string[], from: number, key: string, nth: number): number {
   const header = new RegExp(`^\\s*\\[\\[?\\s*([\\w.-]+\\.)?"?${escapeRegExp(key)}"?\\s*\\]\\]?`)
   const assign = new RegExp(`^\\s*"?${escapeRegExp(key)}"?\\s*=`)
-  let left = nth
+  let headersToSkip = nth
   for (let i = from; i < lines.length; i++) {
     const line = lines[i] ?? ''
     if (assign.test(line)) return i
     if (!header.test(line)) continue
-    if (left === 0) return i
-    left--
+    if (headersToSkip === 0) return i
+    headersToSkip--
   }
   return -1
 }
 
-/** An unknown key is reported on the object that holds it; names the key itself instead. */
+/** Zod reports an unknown key on the object that contains it; this function returns the path of the key itself. */
 function pathsOf (issue: z.core.$ZodIssue): PropertyKey[][] {
   if (issue.code !== 'unrecognized_keys') return [issue.path]
   return issue.keys.map(key => [...issue.path, key])
 }
 
 /**
- * Parses and checks a TOML file.
+ * Parses and validates a TOML file.
  * @param text - the file's content
- * @param schema - what it must satisfy; defaults are filled in
- * @returns the checked value, or all faults
+ * @param schema - the schema, which also fills in defaults
+ * @returns the validated value, or all faults
  */
 export function readToml<S extends z.ZodType> (text: string, schema: S): Result<z.output<S>, readonly TomlFault[]> {
   let raw: unknown
@@ -74,9 +76,9 @@
 }
 
 /**
- * Renders faults one a line.
- * @param file - name shown before each fault
- * @param faults - what readToml found
+ * Formats faults, one per line.
+ * @param file - file name shown before each fault
+ * @param faults - faults reported by `readToml`
  * @returns text for a terminal
  */
 export function renderFaults (file: string, faults: readonly TomlFault[]): string {
