--- a/packages/dispatcher/src/utils/httpServer.ts
+++ b/packages/dispatcher/src/utils/httpServer.ts
@@ -1,29 +1,30 @@
 /**
- * HTTP servers with TLS by settings, bounded bodies, and JSON answers with result codes.
+ * HTTP servers with optional TLS, request bodies of limited size, and JSON answers with result codes. Servers that never
+ * use TLS use `plainServer.ts` instead, so that they do not load the TLS modules.
  */
 import type { CodedError, ResultName, Settings } from '@cranberryyard/protocol'
 import { MAX_BODY_BYTES, RESULT_CODES, codedError } from '@cranberryyard/protocol'
 import { readFileSync } from 'node:fs'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
-import { createServer as createTls } from 'node:https'
+import { createServer as createTlsServer } from 'node:https'
 import { Result } from 'true-myth'
 import { makePlainServer, senderLimits } from './plainServer.js'
 import type { RequestHandler } from './plainServer.js'
 
-type Tls = Settings['callerTls']
+type TlsSettings = Settings['callerTls']
 
 /**
- * Makes a server, with TLS unless the settings say plain.
+ * Makes a server that uses TLS unless the settings select plain HTTP. With a CA file, clients need a certificate.
  * @param tls - the port's TLS settings
- * @param senderTimeoutMs - longest time a sender may take for a whole request
+ * @param senderTimeoutMs - longest time that a sender may take for a whole request
  * @param handler - called for each request
  * @returns the server, not listening yet
  */
-export function makeServer (tls: Tls, senderTimeoutMs: number, handler: RequestHandler): Server {
+export function makeServer (tls: TlsSettings, senderTimeoutMs: number, handler: RequestHandler): Server {
   if (tls.plain) return makePlainServer(senderTimeoutMs, handler)
-  const files = { cert: readFileSync(tls.certFile), key: readFileSync(tls.keyFile) }
+  const certificate = { cert: readFileSync(tls.certFile), key: readFileSync(tls.keyFile) }
   const ca = tls.caFile === '' ? {} : { ca: readFileSync(tls.caFile), requestCert: true, rejectUnauthorized: true }
-  return createTls({ ...senderLimits(senderTimeoutMs), ...files, ...ca }, handler)
+  return createTlsServer({ ...senderLimits(senderTimeoutMs), ...certificate, ...ca }, handler)
 }
 
 /**
@@ -38,9 +39,9 @@
     req.on('data', (chunk: Buffer) => {
       bytes += chunk.length
       if (bytes <= MAX_BODY_BYTES) chunks.push(chunk)
-      else resolve(Result.err(codedError('bodyTooLarge', `a body may have ${MAX_BODY_BYTES} bytes`)))
+      else resolve(Result.err(codedError('bodyTooLarge', `the request body is larger than the limit of ${MAX_BODY_BYTES} bytes`)))
     })
-    req.on('error', () => resolve(Result.err(codedError('slowSender', 'the request was not sent in full'))))
+    req.on('error', () => resolve(Result.err(codedError('slowSender', 'the connection ended before the whole request body was received'))))
     req.on('end', () => resolve(parseJson(Buffer.concat(chunks).toString('utf8'))))
   })
 }
@@ -49,7 +50,7 @@
   try {
     return Result.ok(JSON.parse(text))
   } catch {
-    return Result.err(codedError('malformedJson', 'the body is not JSON'))
+    return Result.err(codedError('malformedJson', 'the request body is not valid JSON'))
   }
 }
 
@@ -86,19 +87,20 @@
 /**
  * Maps a result code to an HTTP status.
  * @param code - a result code
- * @returns the status; 503 for what may pass later, 500 for failed answers
+ * @returns the HTTP status. Codes without an entry in the table give 500 from 2000 to 2999, the failed answers, and 503
+ *   otherwise, since a retry may succeed.
  */
 export function statusOf (code: number): number {
   const name = NAME_OF_CODE.get(code)
-  const listed = name === undefined ? undefined : HTTP_STATUS[name]
-  return listed ?? (code >= 2000 && code < 3000 ? 500 : 503)
+  const mapped = name === undefined ? undefined : HTTP_STATUS[name]
+  return mapped ?? (code >= 2000 && code < 3000 ? 500 : 503)
 }
 
 /**
- * Sends JSON.
+ * Sends a JSON answer unless one was already sent or the connection is closed.
  * @param res - the response
  * @param status - HTTP status
- * @param body - what to send
+ * @param body - the value to serialize
  */
 export function sendJson (res: ServerResponse, status: number, body: unknown): void {
   if (res.headersSent || res.destroyed) return
--- a/packages/dispatcher/src/utils/log.ts
+++ b/packages/dispatcher/src/utils/log.ts
@@ -1,9 +1,10 @@
 /**
- * Structured log lines through `debug`: one JSON object a line, only for changes of state; counters go to statsd.
+ * Writes structured log lines through the `debug` package, one JSON object per line. Only state changes are logged, since
+ * counters go to statsd. Levels are `debug` namespaces, so that operators select them with the DEBUG variable.
  */
 import createDebug from 'debug'
 
-/** Fields of a line. */
+/** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean>>
 
 /** Levels, most severe first. */
@@ -22,7 +23,7 @@
   if (writer.enabled) writer('%s', JSON.stringify({ at: new Date().toISOString(), event, ...fields }))
 }
 
-/** The one log object. */
+/** The log of this process. */
 export const log = {
   error: (event: string, fields: LogFields = {}) => write('error', event, fields),
   warn: (event: string, fields: LogFields = {}) => write('warn', event, fields),
@@ -30,7 +31,7 @@
   debug: (event: string, fields: LogFields = {}) => write('debug', event, fields)
 }
 
-/** Turns on lines from `info` up unless DEBUG says otherwise. */
+/** Enables the levels `error`, `warn` and `info` unless the DEBUG variable is set. */
 export function enableDefaultLevels (): void {
   if (process.env.DEBUG === undefined) createDebug.enable(`${PREFIX}:error,${PREFIX}:warn,${PREFIX}:info`)
 }
--- a/packages/dispatcher/src/utils/plainServer.ts
+++ b/packages/dispatcher/src/utils/plainServer.ts
@@ -1,14 +1,15 @@
 /**
- * Listening without TLS, kept apart so that a process that needs no TLS does not load it.
+ * Makes HTTP servers without TLS and binds servers to a port. It is separate from `httpServer.ts` so that a process that
+ * needs no TLS does not load the TLS modules.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Server as NetServer } from 'node:net'
 
-/** Handles a request; it reads the body itself. */
+/** Handles a request and reads its body. */
 export type RequestHandler = (req: IncomingMessage, res: ServerResponse) => void
 
-/** Bounds on senders that take their time. */
+/** Timeouts of a server that bound how long slow senders and idle connections occupy it. */
 export interface SenderLimits {
   readonly requestTimeout: number
   readonly headersTimeout: number
@@ -17,8 +18,8 @@
 }
 
 /**
- * Makes the limits of a server.
- * @param senderTimeoutMs - longest time a sender may take for a whole request
+ * Derives the server options that limit slow senders.
+ * @param senderTimeoutMs - longest time that a sender may take for a whole request
  */
 export function senderLimits (senderTimeoutMs: number): SenderLimits {
   return { requestTimeout: senderTimeoutMs, headersTimeout: senderTimeoutMs, connectionsCheckingInterval: 500, keepAliveTimeout: 30_000 }
@@ -26,7 +27,7 @@
 
 /**
  * Makes a server without TLS.
- * @param senderTimeoutMs - longest time a sender may take for a whole request
+ * @param senderTimeoutMs - longest time that a sender may take for a whole request
  * @param handler - called for each request
  * @returns the server, not listening yet
  */
@@ -37,9 +38,9 @@
 /**
  * Listens on an address.
  * @param server - the server
- * @param address - IP number
- * @param port - port, 0 for any
- * @returns the port
+ * @param address - IP address
+ * @param port - port, or 0 for any free one
+ * @returns the bound port
  */
 export function listen (server: NetServer, address: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
--- a/packages/dispatcher/src/utils/structuredLog.spec.ts
+++ b/packages/dispatcher/src/utils/structuredLog.spec.ts
@@ -1,17 +1,17 @@
 import { expect } from 'chai'
 import { LineBudget, StructuredLog } from './structuredLog.js'
 
-describe('structured log', () => {
-  it('bounds lines a second, jobs apart from the rest, and counts what it leaves out', () => {
+describe('the structured log', () => {
+  it('limits lines per second, those about jobs separately from the others, and counts suppressed lines', () => {
     const budget = new LineBudget()
-    const written = Array.from({ length: 1000 }, () => budget.take('job.ended', 10)).filter(Boolean).length
+    const written = Array.from({ length: 1000 }, () => budget.tryConsume('job.ended', 10)).filter(Boolean).length
     expect(written).to.be.within(1, 999)
-    expect(budget.take('shard.owned', 20)).to.equal(true)
-    expect(budget.takeSuppressed()).to.equal(1000 - written)
-    expect(budget.take('job.ended', 1200)).to.equal(true)
+    expect(budget.tryConsume('shard.owned', 20)).to.equal(true)
+    expect(budget.resetSuppressedCount()).to.equal(1000 - written)
+    expect(budget.tryConsume('job.ended', 1200)).to.equal(true)
   })
 
-  it('writes one JSON object a line and reports suppressed lines', () => {
+  it('writes one JSON object per line and reports the number of suppressed lines', () => {
     const lines: string[] = []
     let now = 0
     const log = new StructuredLog({ instance: 'i' }, () => now, { write: line => void lines.push(line) })
@@ -24,17 +24,17 @@
     expect(Number(suppressed?.lines) + parsed.filter(line => line.event === 'job.ended').length).to.equal(500)
   })
 
-  it('hands on the report of suppressed lines although the line that came with it was suppressed too', () => {
+  it('flushes the report of suppressed lines even if the line that triggered it was suppressed', () => {
     let now = 500
-    let unflushed = 0
-    const destination = { write: () => void unflushed++, flush: () => void (unflushed = 0) }
+    let unflushedLines = 0
+    const destination = { write: () => void unflushedLines++, flush: () => void (unflushedLines = 0) }
     const log = new StructuredLog({ instance: 'i' }, () => now, destination)
     for (let i = 0; i < 500; i++) log.write('info', 'job.ended', { job: `j${i}` })
     log.flush()
     now = 1200
     log.write('info', 'job.ended', { job: 'last' })
-    expect(unflushed).to.equal(1)
+    expect(unflushedLines).to.equal(1)
     log.flush()
-    expect(unflushed).to.equal(0)
+    expect(unflushedLines).to.equal(0)
   })
 })
--- a/packages/dispatcher/src/utils/structuredLog.ts
+++ b/packages/dispatcher/src/utils/structuredLog.ts
@@ -1,42 +1,43 @@
 /**
- * Structured log lines on standard output: one JSON object a line, written asynchronously. Lines and bytes a second are
- * bounded; what does not fit is counted, and the counts follow in a line of their own. A reader that stalls costs
- * lines, never time.
+ * Writes structured log lines to standard output asynchronously, one JSON object per line. The number of lines per second
+ * and the buffered bytes are bounded; lines over the rate are counted, and a separate line reports the count. A reader
+ * that stalls therefore loses lines but never delays the process. The shard daemon uses this log; `log.ts` is the one of
+ * the other daemon.
  */
 import { pino } from 'pino'
 import type { DestinationStream, Logger } from 'pino'
 
-/** Fields of a line. */
+/** Fields of a log line. */
 export type LineFields = Readonly<Record<string, string | number | boolean | undefined>>
 
-/** Lines a second about single jobs and tasks; above this they are counted only. */
-const JOB_LINES_PER_S = 150
-/** Lines a second about everything else. */
-const OTHER_LINES_PER_S = 100
-/** Bytes that may wait for a slow reader. */
-const BUFFER_BYTES_MAX = 1_048_576
-/** Bytes collected before they are written; the rest follows with the next second. */
-const WRITE_BYTES = 8192
+/** Limit on lines per second about single jobs and tasks; further lines are only counted. */
+const MAX_JOB_LINES_PER_S = 150
+/** Limit on all other lines per second, separate so that many jobs cannot suppress them. */
+const MAX_OTHER_LINES_PER_S = 100
+/** Bytes that are buffered for a slow reader; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 1_048_576
+/** Bytes that are collected before a write; `flush` writes what is left. */
+const MIN_WRITE_BYTES = 8192
 const SECOND_MS = 1000
 
-/** Whether lines still fit into the second. */
+/** Limits the number of log lines per second and counts the suppressed ones. */
 export class LineBudget {
   private secondStart = -Infinity
   private jobLines = 0
   private otherLines = 0
   private suppressed = 0
 
-  /** @returns true when a line may be written now */
-  take (event: string, now: number): boolean {
+  /** Counts a line against the budget of the current second. @returns false if the line must be suppressed */
+  tryConsume (event: string, now: number): boolean {
     if (now - this.secondStart >= SECOND_MS) this.startSecond(now)
     const aboutJob = event.startsWith('job.') || event.startsWith('task.')
-    const fits = aboutJob ? this.jobLines++ < JOB_LINES_PER_S : this.otherLines++ < OTHER_LINES_PER_S
+    const fits = aboutJob ? this.jobLines++ < MAX_JOB_LINES_PER_S : this.otherLines++ < MAX_OTHER_LINES_PER_S
     if (!fits) this.suppressed++
     return fits
   }
 
-  /** @returns lines suppressed since the last call */
-  takeSuppressed (): number {
+  /** Resets the count of suppressed lines. @returns the count since the last call */
+  resetSuppressedCount (): number {
     const count = this.suppressed
     this.suppressed = 0
     return count
@@ -49,48 +50,48 @@
   }
 }
 
-/** The log of one process. */
+/** The log of one process, with fields that every line carries. */
 export class StructuredLog {
   private readonly logger: Logger
   private readonly budget = new LineBudget()
   private readonly destination: DestinationStream & { flushSync?: () => void, flush?: () => void }
-  private reportedAt = 0
-  private unflushed = false
+  private suppressionReportedAt = 0
+  private hasUnflushed = false
 
   /**
    * @param base - fields of every line
-   * @param now - time in milliseconds, for the budget
+   * @param now - returns the time in milliseconds for the budget
    * @param destination - where lines go; standard output by default
    */
   constructor (base: LineFields, private readonly now: () => number, destination?: DestinationStream) {
-    this.destination = destination ?? pino.destination({ dest: 1, sync: false, minLength: WRITE_BYTES, maxLength: BUFFER_BYTES_MAX })
+    this.destination = destination ?? pino.destination({ dest: 1, sync: false, minLength: MIN_WRITE_BYTES, maxLength: MAX_BUFFERED_BYTES })
     this.logger = pino({ base, timestamp: pino.stdTimeFunctions.isoTime, messageKey: 'event' }, this.destination)
   }
 
-  /** Writes a line unless the second's budget is used up. */
+  /** Writes a line unless the budget of the current second is exhausted; at most once per second, also reports suppressed lines. */
   write (level: 'info' | 'warn', event: string, fields: LineFields): void {
     const now = this.now()
-    this.unflushed = true
-    if (this.budget.take(event, now)) this.logger[level](fields, event)
-    if (now - this.reportedAt < SECOND_MS) return
-    this.reportedAt = now
-    const suppressed = this.budget.takeSuppressed()
+    this.hasUnflushed = true
+    if (this.budget.tryConsume(event, now)) this.logger[level](fields, event)
+    if (now - this.suppressionReportedAt < SECOND_MS) return
+    this.suppressionReportedAt = now
+    const suppressed = this.budget.resetSuppressedCount()
     if (suppressed > 0) this.logger.warn({ lines: suppressed }, 'log.suppressed')
   }
 
-  /** Hands what is collected to the system. */
+  /** Starts to write buffered lines. */
   flush (): void {
-    if (!this.unflushed) return
-    this.unflushed = false
+    if (!this.hasUnflushed) return
+    this.hasUnflushed = false
     this.destination.flush?.()
   }
 
-  /** Writes out what is collected before the process ends. */
+  /** Writes buffered lines synchronously, for use before the process exits. */
   flushSync (): void {
     try {
       this.destination.flushSync?.()
     } catch (err) {
-      process.stderr.write(`log lines lost at exit: ${String(err)}\n`)
+      process.stderr.write(`buffered log lines were lost at exit: ${String(err)}\n`)
     }
   }
 }
