--- a/packages/dispatcher/src/shard/linkTask.ts
+++ b/packages/dispatcher/src/shard/linkTask.ts
@@ -1,7 +1,7 @@
 /**
  * Owns the connections between the instances of a shard fleet. Each direction has its own plain TCP connection, which
  * carries a stream of MessagePack envelopes. gRPC is not used: loading and running it costs a third of the start-up time
- * and 8 MB of memory in each process, and the platform charges for both.
+ * and 8 MB of memory in each process, which the platform charges for.
  *
  * A message is reported as not sent only if no connection to its peer was established. Once it has been written to a
  * connection that breaks, the peer may or may not have received it.
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -1,7 +1,7 @@
 /**
  * Owns the connection to the platform's store: watches the desired state, polls the lists of endpoints and records at
  * the period that the decisions ask for, and carries out writes. Each call has a deadline, and failed reads are repeated
- * with backoff. Only this module knows about timeouts and retries; the platform adapter translates calls and replies.
+ * with backoff. Timeouts and retries belong here; the platform adapter only translates calls and replies.
  */
 import { ENDPOINTS_MS, RECORDS_MS } from '@cranberryyard/core/shard'
 import type { ListPace, ShardEffect, ShardInput } from '@cranberryyard/core/shard'
