--- a/packages/dispatcher/src/callers/callerTask.ts
+++ b/packages/dispatcher/src/callers/callerTask.ts
@@ -1,5 +1,7 @@
 /**
- * The callers' port: jobs in, answers out. Each request is checked here; whatever is wrong with it ends here.
+ * Serves the callers' HTTP API: accepts jobs and returns their answers. Checks the form of each request and refuses an
+ * invalid one here, so that the core task receives valid jobs only. Keeps the open requests until the core task's
+ * effects answer them.
  */
 import type { Answer, CodedError, SubmissionId } from '@cranberryyard/protocol'
 import { codedError, jobSchema } from '@cranberryyard/protocol'
@@ -8,25 +10,26 @@
 import { keyHashOf } from '../utils/keys.js'
 import { readJson, sendJson, statusOf } from '../utils/httpServer.js'
 
+/** An open request of a caller. */
 interface Call {
   readonly res: ServerResponse
-  /** False when the caller asked only for the submission's id. */
-  readonly waits: boolean
+  /** False when the caller asked for the submission's id only (`wait=0`): the call ends once the job is accepted. */
+  readonly waitsForAnswer: boolean
 }
 
 const JOB_PATH = /^\/v1\/jobs\/([\w.:-]{1,200})$/
 
-/** Owns the callers' open requests. */
+/** Handles the callers' requests and keeps the open ones. */
 export class CallerTask {
   private readonly calls = new Map<string, Call>()
-  private counter = 0
-  /** Shown on the health page; the balancer takes an instance out when it is false. */
+  private lastCallNumber = 0
+  /** Result of the health check; the load balancer takes the instance out while it is false. */
   healthy = false
   server: Server | undefined
 
   constructor (private readonly post: Post) {}
 
-  /** Handles one request. */
+  /** Routes one request of a caller: health check, submission, or the fetch or cancellation of an earlier one. */
   handle (req: IncomingMessage, res: ServerResponse): void {
     const url = new URL(req.url ?? '/', 'http://caller')
     if (req.method === 'GET' && url.pathname === '/healthz') return sendJson(res, this.healthy ? 200 : 503, { serving: this.healthy })
@@ -35,46 +38,46 @@
       return
     }
     const id = JOB_PATH.exec(url.pathname)?.[1]
-    if (id === undefined) return this.refuse(res, codedError('unknownSubmission', 'no such page'))
-    this.followUp(req, res, id as SubmissionId)
+    if (id === undefined) return this.sendRefusal(res, codedError('unknownSubmission', `no such path: ${url.pathname}`))
+    this.fetchOrCancel(req, res, id as SubmissionId)
   }
 
-  /** @returns number of requests that wait for an answer */
+  /** Number of requests that wait for an answer. */
   get openCalls (): number {
     return this.calls.size
   }
 
-  /** Carries out an effect of the core task. */
-  accepted (effect: EffectOf<'accepted'>): void {
+  /** Sends the submission's id to a caller that asked for the id only; other callers wait on for the answer. */
+  onAccepted (effect: EffectOf<'accepted'>): void {
     const call = this.calls.get(effect.callId)
-    if (call === undefined || call.waits) return
+    if (call === undefined || call.waitsForAnswer) return
     this.calls.delete(effect.callId)
     sendJson(call.res, 202, { submissionId: effect.submissionId })
   }
 
-  /** Sends a refusal. */
-  refused (effect: EffectOf<'refused'>): void {
-    const call = this.take(effect.callId)
-    if (call !== undefined) this.refuse(call.res, effect.error)
+  /** Sends a refusal of the core task. */
+  onRefused (effect: EffectOf<'refused'>): void {
+    const call = this.removeCall(effect.callId)
+    if (call !== undefined) this.sendRefusal(call.res, effect.error)
   }
 
-  /** Sends an answer. */
-  answered (effect: EffectOf<'answer'>): void {
-    const call = this.take(effect.callId)
+  /** Sends the job's answer. */
+  onAnswer (effect: EffectOf<'answer'>): void {
+    const call = this.removeCall(effect.callId)
     if (call !== undefined) sendJson(call.res, statusOfAnswer(effect.answer), effect.answer)
   }
 
-  /** Tells that a submission is still running. */
-  pending (effect: EffectOf<'pending'>): void {
-    const call = this.take(effect.callId)
+  /** Responds to a fetch that the submission is still running. */
+  onPending (effect: EffectOf<'pending'>): void {
+    const call = this.removeCall(effect.callId)
     if (call !== undefined) sendJson(call.res, 202, { outcome: 'pending', code: codedError('stillRunning', '').code })
   }
 
-  private async submit (req: IncomingMessage, res: ServerResponse, waits: boolean): Promise<void> {
+  private async submit (req: IncomingMessage, res: ServerResponse, waitsForAnswer: boolean): Promise<void> {
     const keyHash = keyHashOf(req)
     const body = await readJson(req)
     if (body.isErr) {
-      this.refuse(res, body.error)
+      this.sendRefusal(res, body.error)
       if (!req.complete) req.destroy()
       return
     }
@@ -82,35 +85,35 @@
     if (!job.success) {
       const issue = job.error.issues[0]
       const field = issue?.path.map(String).join('.') ?? ''
-      this.refuse(res, codedError('invalidField', `${issue?.message ?? 'invalid'}; not run`, field))
+      this.sendRefusal(res, codedError('invalidField', `${issue?.message ?? 'invalid'}; not run`, field))
       return
     }
-    const callId = this.open(res, waits)
+    const callId = this.registerCall(res, waitsForAnswer)
     this.post({ type: 'submit', callId, keyHash, job: job.data })
   }
 
-  private followUp (req: IncomingMessage, res: ServerResponse, submissionId: SubmissionId): void {
+  private fetchOrCancel (req: IncomingMessage, res: ServerResponse, submissionId: SubmissionId): void {
     const keyHash = keyHashOf(req)
-    const callId = this.open(res, true)
+    const callId = this.registerCall(res, true)
     if (req.method === 'GET') this.post({ type: 'fetch', callId, keyHash, submissionId })
     else if (req.method === 'DELETE') this.post({ type: 'cancel', callId, keyHash, submissionId })
-    else this.refused({ type: 'refused', callId, error: codedError('invalidField', 'method not known', 'method'), ran: 'no' })
+    else this.onRefused({ type: 'refused', callId, error: codedError('invalidField', `method ${req.method} is not supported`, 'method'), ran: 'no' })
   }
 
-  private open (res: ServerResponse, waits: boolean): string {
-    const callId = `call-${++this.counter}`
-    this.calls.set(callId, { res, waits })
+  private registerCall (res: ServerResponse, waitsForAnswer: boolean): string {
+    const callId = `call-${++this.lastCallNumber}`
+    this.calls.set(callId, { res, waitsForAnswer })
     res.on('close', () => this.calls.delete(callId))
     return callId
   }
 
-  private take (callId: string): Call | undefined {
+  private removeCall (callId: string): Call | undefined {
     const call = this.calls.get(callId)
     this.calls.delete(callId)
     return call
   }
 
-  private refuse (res: ServerResponse, error: CodedError): void {
+  private sendRefusal (res: ServerResponse, error: CodedError): void {
     sendJson(res, statusOf(error.code), { outcome: 'failed', ...error, ran: 'no' })
   }
 }
--- a/packages/dispatcher/src/daemon.ts
+++ b/packages/dispatcher/src/daemon.ts
@@ -1,6 +1,7 @@
 /**
- * One entry instance as a process: the core task in the middle, around it one task for each kind of socket.
- * Inputs are handled one after the other; effects go to the task they concern.
+ * Runs one entry instance as a process. The core task makes all decisions and does no I/O; around it, there is one task
+ * for each kind of socket. The daemon passes their inputs to the core task one at a time, and each effect to the task
+ * that executes it.
  */
 import { Instance } from '@cranberryyard/core'
 import type { Effect, Input } from '@cranberryyard/core'
@@ -16,10 +17,10 @@
 import { listen } from './utils/plainServer.js'
 import { log } from './utils/log.js'
 
-/** Period of the core task's tick. */
+/** Interval between ticks of the core task. */
 const TICK_MS = 50
 
-/** Ports that are bound. */
+/** The ports that the daemon listens on. */
 export interface BoundPorts {
   readonly caller: number
   readonly operator: number
@@ -36,7 +37,8 @@
   private readonly platform: PlatformTask
   private readonly metrics: MetricsTask
   private ticker: NodeJS.Timeout | undefined
-  private drained: () => void = () => {}
+  /** Called when the core task has drained; `stop` replaces it. */
+  private resolveDrained: () => void = () => {}
 
   constructor (private readonly settings: Settings) {
     const { instance, listen: ports } = settings
@@ -61,7 +63,7 @@
     this.metrics = new MetricsTask(settings.metrics, () => this.core.status())
   }
 
-  /** Binds the ports and starts to work. @returns the ports */
+  /** Binds the ports, starts polling the platform and starts the tick. @returns the ports */
   async start (): Promise<BoundPorts> {
     const { instance, listen: ports, callerTls, operatorTls, jobs, peers } = this.settings
     this.callers.server = makeServer(callerTls, jobs.senderTimeoutMs, (req, res) => this.callers.handle(req, res))
@@ -69,9 +71,9 @@
     const peer = await this.peers.listen(instance.address, ports.peerPort)
     const caller = await listen(this.callers.server, instance.address, ports.callerPort)
     const operator = await listen(this.operators.server, instance.address, ports.operatorPort)
-    const known = peers.map(p => ({ instance: p.id as InstanceId, address: p.address }))
-    this.post({ type: 'peers', peers: known })
-    this.platform.startListing()
+    const configuredPeers = peers.map(p => ({ instance: p.id as InstanceId, address: p.address }))
+    this.post({ type: 'peers', peers: configuredPeers })
+    this.platform.startInstancePolling()
     this.ticker = setInterval(() => this.post({ type: 'tick' }), TICK_MS)
     this.post({ type: 'tick' })
     log.info('daemon.started', { instance: instance.id, caller, operator, peer })
@@ -79,26 +81,27 @@
   }
 
   /**
-   * Leaves gracefully: the health page turns at once, requests in flight are finished, then everything closes.
-   * @returns true when nothing was cut off
+   * Shuts down gracefully. The health check fails at once, but new requests are served for `announceMs`, until the load
+   * balancer has noticed. Then requests in flight get up to `drainMs` before everything is closed.
+   * @returns true when all requests in flight were finished within that time
    */
   async stop (): Promise<boolean> {
     const { announceMs, drainMs } = this.settings.shutdown
     this.callers.healthy = false
     log.info('daemon.leaving', {})
     await sleep(announceMs)
-    const done = new Promise<boolean>((resolve) => {
-      this.drained = () => resolve(true)
+    const drained = new Promise<boolean>((resolve) => {
+      this.resolveDrained = () => resolve(true)
     })
     this.post({ type: 'leave' })
-    const clean = await Promise.race([done, sleep(drainMs).then(() => false)])
-    await this.finishCalls()
+    const clean = await Promise.race([drained, sleep(drainMs).then(() => false)])
+    await this.finishOpenCalls()
     await this.close()
     log.info('daemon.stopped', { clean })
     return clean
   }
 
-  /** Closes everything at once. */
+  /** Closes all ports and connections at once, without draining. */
   async close (): Promise<void> {
     clearInterval(this.ticker)
     this.metrics.close()
@@ -110,33 +113,33 @@
     await Promise.all([this.endpoints.close(), this.platform.close()])
   }
 
-  /** Answers that have been decided are written out before connections close. */
-  private async finishCalls (): Promise<void> {
+  /** Waits up to about 2 s for answers that are already decided to be sent, before the connections are closed. */
+  private async finishOpenCalls (): Promise<void> {
     this.callers.server?.close()
     for (let i = 0; i < 100 && this.callers.openCalls > 0; i++) await sleep(20)
     await sleep(50)
   }
 
   private post (input: Input): void {
-    for (const effect of this.core.handle(input, systemClock.now(), systemClock.wall())) this.carryOut(effect)
+    for (const effect of this.core.handle(input, systemClock.now(), systemClock.wall())) this.executeEffect(effect)
   }
 
-  private carryOut (effect: Effect): void {
+  private executeEffect (effect: Effect): void {
     switch (effect.type) {
-      case 'accepted': return this.callers.accepted(effect)
-      case 'refused': return this.callers.refused(effect)
-      case 'answer': return this.callers.answered(effect)
-      case 'pending': return this.callers.pending(effect)
+      case 'accepted': return this.callers.onAccepted(effect)
+      case 'refused': return this.callers.onRefused(effect)
+      case 'answer': return this.callers.onAnswer(effect)
+      case 'pending': return this.callers.onPending(effect)
       case 'send': return this.peers.send(effect)
       case 'start': return this.endpoints.start(effect)
       case 'renew': return this.endpoints.renew(effect)
       case 'stop': return this.endpoints.stop(effect)
       case 'probe': return this.endpoints.probe(effect)
-      case 'storeRead': return void this.platform.read()
-      case 'storeWatch': return void this.platform.watch(effect)
-      case 'storeCas': return void this.platform.cas(effect)
-      case 'storeArchive': return void this.platform.archive(effect)
-      case 'changeResult': return this.operators.changeResult(effect)
+      case 'storeRead': return void this.platform.readFleet()
+      case 'storeWatch': return void this.platform.watchFleet(effect)
+      case 'storeCas': return void this.platform.casFleet(effect)
+      case 'storeArchive': return void this.platform.archiveAuditChunk(effect)
+      case 'changeResult': return this.operators.onChangeResult(effect)
       case 'state': return this.enterState(effect.name)
       case 'log': return log.info(effect.event, effect.fields)
     }
@@ -144,7 +147,7 @@
 
   private enterState (state: 'serving' | 'leaving' | 'drained'): void {
     this.callers.healthy = state === 'serving'
-    if (state === 'drained') this.drained()
+    if (state === 'drained') this.resolveDrained()
   }
 }
 
--- a/packages/dispatcher/src/development.ts
+++ b/packages/dispatcher/src/development.ts
@@ -1,6 +1,6 @@
 /**
- * The embedded default behind `cranberryyardd --dev`: an in-memory platform, one sample endpoint and one sample
- * customer in the same process. Not for use.
+ * Development mode (`cranberryyardd --dev`): a daemon with an in-memory platform, a sample endpoint and a sample
+ * customer in the same process, without TLS. It needs no settings and no other service. Not for production use.
  */
 import { EndpointFake, PlatformFake } from '@cranberryyard/fakes'
 import { EMPTY_FLEET, contractSchema, settingsSchema } from '@cranberryyard/protocol'
@@ -13,20 +13,21 @@
 const DOMAIN = 'local' as FailureDomain
 const SAMPLE_SIZE = { slots: 8, cores: 32, memoryMb: 131_072, accelerators: 0 }
 
-/** What runs in development. */
+/** A running development environment. */
 export interface Development {
   readonly daemon: Daemon
   readonly ports: BoundPorts
   readonly callerKey: string
   readonly teamKey: string
+  /** Text for the terminal: ports and keys. */
   readonly notice: string
   close (): Promise<void>
 }
 
 /**
- * Starts everything on loopback.
+ * Starts a daemon and the stand-ins for platform and endpoints on loopback.
  * @param endpoints - number of sample endpoints
- * @returns handles and keys
+ * @returns the daemon, its ports, and keys for the caller and operator ports
  */
 export async function startDevelopment (endpoints = 1): Promise<Development> {
   const callerKey = newKey()
@@ -53,7 +54,7 @@
   })
   const daemon = new Daemon(settings)
   const ports = await daemon.start()
-  log.warn('development', { message: 'in-memory platform, sample endpoint, plain ports: not for use' })
+  log.warn('development', { message: 'in-memory platform, sample endpoint, ports without TLS: not for production use' })
   const close = async (): Promise<void> => {
     await daemon.close()
     await Promise.all(fakes.map(f => f.close()))
@@ -78,7 +79,7 @@
 
 function noticeOf (ports: BoundPorts, callerKey: string, teamKey: string): string {
   return [
-    'DEVELOPMENT MODE: in-memory platform, one sample endpoint, plain ports. Not for use.',
+    'DEVELOPMENT MODE: in-memory platform, one sample endpoint, ports without TLS. Not for production use.',
     `callers   http://127.0.0.1:${ports.caller}   key ${callerKey}`,
     `operators http://127.0.0.1:${ports.operator}   key ${teamKey}`
   ].join('\n')
--- a/packages/dispatcher/src/endpoints/endpointTask.ts
+++ b/packages/dispatcher/src/endpoints/endpointTask.ts
@@ -1,62 +1,62 @@
 /**
- * Talks to endpoints through docs/ENDPOINT.md: starts, renewals, stops, probes. The one place that decides
- * whether a start is known not to have been sent.
+ * Sends starts, lease renewals, stops and probes to endpoints by the API in docs/ENDPOINT.md. This is the only place
+ * that decides whether a start was certainly not sent. Any other failure leaves its outcome unknown: the task may run.
  */
 import type { EndpointId, RefusalReason, StartOutcome } from '@cranberryyard/protocol'
 import { Pool } from 'undici'
 import type { Dispatcher } from 'undici'
 import type { EffectOf, Post } from '../messages.js'
 
-/** A connection that is not made after this span counts as not made; nothing was sent. */
+/** An attempt to connect fails after this time; nothing has been sent then. */
 const CONNECT_TIMEOUT_MS = 1000
-/** Renewals, stops and probes are small; an endpoint that takes longer is treated as not reached. */
+/** Renewals, stops and probes are small; an endpoint that takes longer counts as unreachable. */
 const CONTROL_TIMEOUT_MS = 1000
-/** Idle connections are closed, so that sixty-four connections of an endpoint serve all instances. */
-const IDLE_CLOSE_MS = 10_000
+/** Idle connections are closed so that the 64 connections of an endpoint suffice for all instances. */
+const IDLE_CONNECTION_TIMEOUT_MS = 10_000
 
-/** Errors before anything was written on a connection. */
+/** Errors that occur before anything is written to a connection. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-/** Owns the connections to endpoints. */
+/** Keeps one connection pool for each endpoint address. */
 export class EndpointTask {
   private readonly pools = new Map<string, Pool>()
 
-  constructor (private readonly connections: number, private readonly post: Post) {}
+  constructor (private readonly connectionsPerEndpoint: number, private readonly post: Post) {}
 
-  /** Starts a task and reports its outcome. */
+  /** Starts a task and reports its outcome. The endpoint responds when the task ends, so there is no response timeout. */
   start (effect: EffectOf<'start'>): void {
     const { endpoint, request, address } = effect
-    const handler = new StartHandler(outcome => this.post({ type: 'startOutcome', taskId: request.taskId, endpoint, outcome }))
-    this.pool(address).dispatch({ path: '/v1/start', method: 'POST', headers: JSON_HEADERS, body: JSON.stringify(request), headersTimeout: 0, bodyTimeout: 0 }, handler)
+    const handler = new StartResponseHandler(outcome => this.post({ type: 'startOutcome', taskId: request.taskId, endpoint, outcome }))
+    this.poolFor(address).dispatch({ path: '/v1/start', method: 'POST', headers: JSON_HEADERS, body: JSON.stringify(request), headersTimeout: 0, bodyTimeout: 0 }, handler)
   }
 
-  /** Renews leases and reports whether the endpoint answered. */
+  /** Renews the leases of tasks and reports whether the endpoint responded with status 200. */
   renew (effect: EffectOf<'renew'>): void {
     const { endpoint, tasks, notAfter, address } = effect
-    void this.control(address, 'POST', '/v1/renew', { tasks, notAfter })
+    void this.sendControlRequest(address, 'POST', '/v1/renew', { tasks, notAfter })
       .then(ok => this.post({ type: 'renewOutcome', endpoint, tasks, renewed: ok }))
   }
 
-  /** Stops tasks; their start requests are answered by that. */
+  /** Stops tasks. Reports nothing: the stop makes the endpoint respond to their start requests. */
   stop (effect: EffectOf<'stop'>): void {
-    void this.control(effect.address, 'POST', '/v1/stop', { tasks: effect.tasks, notAfter: effect.notAfter })
+    void this.sendControlRequest(effect.address, 'POST', '/v1/stop', { tasks: effect.tasks, notAfter: effect.notAfter })
   }
 
-  /** Asks an endpoint whether it is healthy. */
+  /** Checks an endpoint's health and reports the result. */
   probe (effect: EffectOf<'probe'>): void {
-    void this.control(effect.address, 'GET', '/v1/health', undefined)
+    void this.sendControlRequest(effect.address, 'GET', '/v1/health', undefined)
       .then(healthy => this.post({ type: 'probeOutcome', endpoint: effect.endpoint as EndpointId, healthy }))
   }
 
-  /** Closes all connections. */
+  /** Closes all connections at once; start requests still open end with an unknown outcome. */
   async close (): Promise<void> {
     await Promise.all([...this.pools.values()].map(p => p.destroy()))
   }
 
-  private async control (address: string, method: 'GET' | 'POST', path: string, body: unknown): Promise<boolean> {
+  private async sendControlRequest (address: string, method: 'GET' | 'POST', path: string, body: unknown): Promise<boolean> {
     try {
       const options = { path, method, headers: JSON_HEADERS, headersTimeout: CONTROL_TIMEOUT_MS, bodyTimeout: CONTROL_TIMEOUT_MS }
-      const res = await this.pool(address).request(body === undefined ? options : { ...options, body: JSON.stringify(body) })
+      const res = await this.poolFor(address).request(body === undefined ? options : { ...options, body: JSON.stringify(body) })
       await res.body.dump()
       return res.statusCode === 200
     } catch {
@@ -64,14 +64,14 @@
     }
   }
 
-  private pool (address: string): Pool {
+  private poolFor (address: string): Pool {
     const known = this.pools.get(address)
     if (known !== undefined) return known
     const pool = new Pool(`http://${address}`, {
-      connections: this.connections,
+      connections: this.connectionsPerEndpoint,
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      keepAliveTimeout: IDLE_CLOSE_MS,
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
       headersTimeout: 0,
       bodyTimeout: 0
     })
@@ -82,13 +82,13 @@
 
 const JSON_HEADERS = { 'content-type': 'application/json' }
 
-/** Collects one response; whatever goes wrong once bytes may have been sent is an unknown outcome. */
-class StartHandler implements Dispatcher.DispatchHandler {
+/** Collects the response to one start. Any error after bytes may have been sent gives an unknown outcome. */
+class StartResponseHandler implements Dispatcher.DispatchHandler {
   private status = 0
   private readonly chunks: Buffer[] = []
-  private ended = false
+  private reported = false
 
-  constructor (private readonly done: (outcome: StartOutcome) => void) {}
+  constructor (private readonly report: (outcome: StartOutcome) => void) {}
 
   onConnect (): void {}
 
@@ -103,7 +103,7 @@
   }
 
   onComplete (): void {
-    this.finish(readOutcome(this.status, Buffer.concat(this.chunks).toString('utf8')))
+    this.finish(parseStartOutcome(this.status, Buffer.concat(this.chunks).toString('utf8')))
   }
 
   onError (err: Error): void {
@@ -112,13 +112,13 @@
   }
 
   private finish (outcome: StartOutcome): void {
-    if (this.ended) return
-    this.ended = true
-    this.done(outcome)
+    if (this.reported) return
+    this.reported = true
+    this.report(outcome)
   }
 }
 
-function readOutcome (status: number, text: string): StartOutcome {
+function parseStartOutcome (status: number, text: string): StartOutcome {
   let body: { result?: unknown, runMs?: number, message?: string, reason?: RefusalReason }
   try {
     body = JSON.parse(text) as typeof body
--- a/packages/dispatcher/src/index.ts
+++ b/packages/dispatcher/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the dispatcher package: the daemon as a library, for the command line and for tests. */
+/** Public API of the dispatcher package: the daemon as a library, for the command line and for tests. */
 export { Daemon } from './daemon.js'
 export type { BoundPorts } from './daemon.js'
 export { startDevelopment } from './development.js'
--- a/packages/dispatcher/src/main.ts
+++ b/packages/dispatcher/src/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * `cranberryyardd`: one entry instance.
+ * Command `cranberryyardd`: runs one entry instance from a settings file, or a development environment with `--dev`.
+ * Parses the arguments, reports faults in the settings, and shuts the daemon down on SIGTERM and SIGINT.
  */
 import { readFileSync } from 'node:fs'
 import process from 'node:process'
@@ -13,7 +14,7 @@
 import { checkFiles } from './settingsCheck.js'
 import { enableDefaultLevels, log } from './utils/log.js'
 
-/** Exit codes. */
+/** Exit codes. `cutOff`: the daemon crashed, or it stopped before all requests in flight were finished. */
 const EXIT = { ok: 0, cutOff: 1, badSettings: 2 } as const
 
 const args = await yargs(hideBin(process.argv))
@@ -21,8 +22,8 @@
   .usage('$0 --settings FILE | --dev')
   .option('settings', { type: 'string', describe: 'Settings file (TOML)' })
   .option('check', { type: 'boolean', default: false, describe: 'Check the settings, report every fault, and exit' })
-  .option('dev', { type: 'boolean', default: false, describe: 'In-memory platform and one sample endpoint; not for use' })
-  .example('$0 --settings entry-1.toml --check', 'report all faults by key and line')
+  .option('dev', { type: 'boolean', default: false, describe: 'In-memory platform and one sample endpoint; not for production use' })
+  .example('$0 --settings entry-1.toml --check', 'Report all faults in the settings with key and line')
   .strict()
   .parse()
 
@@ -33,12 +34,12 @@
 
 async function runConfigured (file: string | undefined, checkOnly: boolean): Promise<void> {
   if (file === undefined) {
-    console.error('cranberryyardd: --settings FILE or --dev is needed')
+    console.error('cranberryyardd: either --settings FILE or --dev is required')
     process.exit(EXIT.badSettings)
   }
   const settings = loadSettings(file)
   if (checkOnly) {
-    console.log(`${file}: correct`)
+    console.log(`${file}: settings are valid`)
     process.exit(EXIT.ok)
   }
   const daemon = new Daemon(settings)
@@ -57,7 +58,7 @@
   try {
     text = readFileSync(file, 'utf8')
   } catch {
-    console.error(`${file}: cannot be read`)
+    console.error(`${file}: cannot read the settings file`)
     process.exit(EXIT.badSettings)
   }
   const settings = readToml(text, settingsSchema).andThen(checkFiles)
--- a/packages/dispatcher/src/messages.ts
+++ b/packages/dispatcher/src/messages.ts
@@ -1,11 +1,11 @@
 /**
- * How the daemon's tasks talk: every task owns its sockets and state and posts inputs to the core task,
- * which hands effects back to the task they concern.
+ * Types of the messages between the daemon's tasks. Each task owns its sockets and its state and posts inputs to the
+ * core task; the core task returns effects, and the daemon passes each to the task that executes it.
  */
 import type { Effect, Input } from '@cranberryyard/core'
 
-/** Posts an input to the core task. */
+/** Passes an input to the core task. */
 export type Post = (input: Input) => void
 
-/** Effects of some types. */
+/** The effects with one of the given types. */
 export type EffectOf<T extends Effect['type']> = Extract<Effect, { type: T }>
--- a/packages/dispatcher/src/metrics/metricsTask.ts
+++ b/packages/dispatcher/src/metrics/metricsTask.ts
@@ -1,5 +1,6 @@
 /**
- * Sends counters and gauges to statsd through hot-shots. docs/METRICS.md lists them.
+ * Sends counters and gauges to statsd with hot-shots. Reads the status report periodically, so that the core task needs
+ * no metrics client. docs/METRICS.md lists all metrics.
  */
 import type { StatusReport } from '@cranberryyard/core'
 import type { Settings } from '@cranberryyard/protocol'
@@ -7,7 +8,7 @@
 
 const PREFIX = 'cranberryyard.'
 
-/** Gauges, with their meaning; docs/METRICS.md is checked against this list. */
+/** Gauges and their help texts. A check compares docs/METRICS.md with this list. */
 export const GAUGES = {
   'fleet.version': 'Fleet version known here.',
   'fleet.versionInForce': 'Fleet version whose limits are kept here in full.',
@@ -17,17 +18,18 @@
   'store.reachable': '1 while the platform\'s store answers.'
 } as const
 
-/** Timeliness counters; by customer and kind. */
+/** Timeliness counters and their help texts. */
 export const TIMELINESS_COUNTERS = {
   'answers.onTime': 'Complete answers within the contract\'s answer time, by customer and kind.',
   'answers.late': 'Complete answers after it, by customer and kind.',
   'answers.notAnswered': 'Accepted submissions that ended without a complete answer, by customer and kind.'
 } as const
 
-/** Owns the statsd socket. */
+/** Sends the metrics every `flushMs`; does nothing without a statsd address in the settings. */
 export class MetricsTask {
   private readonly client: StatsD | undefined
-  private readonly sent = new Map<string, number>()
+  /** Last total sent of each counter and its tags: the status report has totals, statsd expects increments. */
+  private readonly lastSentTotals = new Map<string, number>()
   private timer: NodeJS.Timeout | undefined
 
   constructor (settings: Settings['metrics'], private readonly status: () => StatusReport) {
@@ -37,7 +39,7 @@
     this.timer = setInterval(() => this.flush(), settings.flushMs)
   }
 
-  /** Stops sending. */
+  /** Sends the metrics a last time and closes the socket. */
   close (): void {
     clearInterval(this.timer)
     if (this.client === undefined) return
@@ -54,10 +56,10 @@
       this.increment('answers.late', row.late, tags)
       this.increment('answers.notAnswered', row.notAnswered, tags)
     }
-    this.gauges(status)
+    this.sendGauges(status)
   }
 
-  private gauges (status: StatusReport): void {
+  private sendGauges (status: StatusReport): void {
     this.client?.gauge('fleet.version', status.fleetVersion)
     this.client?.gauge('fleet.versionInForce', status.versionInForce)
     this.client?.gauge('store.reachable', status.storeReachable ? 1 : 0)
@@ -71,8 +73,8 @@
 
   private increment (name: string, total: number, tags: Record<string, string>): void {
     const key = `${name} ${JSON.stringify(tags)}`
-    const delta = total - (this.sent.get(key) ?? 0)
-    this.sent.set(key, total)
+    const delta = total - (this.lastSentTotals.get(key) ?? 0)
+    this.lastSentTotals.set(key, total)
     if (delta > 0) this.client?.increment(name, delta, tags)
   }
 }
--- a/packages/dispatcher/src/operators/operatorTask.ts
+++ b/packages/dispatcher/src/operators/operatorTask.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' port: status, contracts, endpoint orders, audit. Changes go to the core task; a request that
- * waits for a change to be in force is answered when every reachable instance follows it, or names who does not.
+ * Serves the operators' HTTP API: status, contracts, endpoint orders and the audit trail. The core task decides on
+ * changes. A change request gets its response once every instance on the roster has the change in force, or after
+ * `inForceWaitMs` with the failure domains that do not have it in force yet.
  */
 import type { ChangeId, CodedError, EndpointOrder, Fleet, Settings } from '@cranberryyard/protocol'
 import { codedError, contractSchema } from '@cranberryyard/protocol'
@@ -12,7 +13,7 @@
 import { keyHashOf } from '../utils/keys.js'
 import { readJson, sendJson, statusOf } from '../utils/httpServer.js'
 
-/** Period of looking whether a change is in force. */
+/** Interval between checks whether a change is in force. */
 const IN_FORCE_POLL_MS = 50
 
 const changeSchema = z.strictObject({
@@ -24,86 +25,86 @@
   ])
 })
 
-/** What the operators' port reads from the core task. */
+/** Read access to the core task's state and the audit archive. */
 export interface OperatorView {
   readonly status: () => StatusReport
   readonly fleet: () => Fleet
   readonly readArchive: (key: string) => Promise<unknown>
 }
 
-/** Where a change is in force. */
+/** Whether a change is in force on the whole roster. */
 export interface InForceReport {
   readonly inForce: boolean
-  /** Failure domains with a roster entry that does not follow the change. */
+  /** Failure domains of the roster entries for which the change is not in force yet. */
   readonly missingDomains: readonly string[]
 }
 
-/** Owns the operators' open requests. */
+/** Handles the operators' requests and keeps the changes that the core task has not decided yet. */
 export class OperatorTask {
-  private readonly waiting = new Map<string, (result: ChangeResult) => void>()
-  private counter = 0
+  private readonly pendingChanges = new Map<string, (result: ChangeResult) => void>()
+  private lastCallNumber = 0
   server: Server | undefined
 
   constructor (private readonly settings: Settings['operators'], private readonly post: Post, private readonly view: OperatorView) {}
 
-  /** Handles one request. */
+  /** Checks the key of one request and routes it. */
   handle (req: IncomingMessage, res: ServerResponse): void {
     const actor = findActor(keyHashOf(req), this.settings.teamKeys, this.view.fleet())
-    if (actor === undefined) return this.refuse(res, codedError('unauthorized', 'unknown key'))
+    if (actor === undefined) return this.sendRefusal(res, codedError('unauthorized', 'unknown key'))
     const url = new URL(req.url ?? '/', 'http://operator')
     switch (`${req.method} ${url.pathname}`) {
       case 'GET /v1/status': return sendJson(res, 200, this.visibleStatus(actor))
       case 'GET /v1/contracts': return sendJson(res, 200, this.visibleContracts(actor))
       case 'GET /v1/audit':
-        void this.audit(res, actor)
+        void this.sendAudit(res, actor)
         return
       case 'GET /v1/whoami': return sendJson(res, 200, actor)
       case 'POST /v1/changes':
-        void this.change(req, res)
+        void this.handleChange(req, res)
         return
-      default: return this.refuse(res, codedError('unknownRevision', 'no such page'))
+      default: return this.sendRefusal(res, codedError('unknownRevision', `no such path: ${req.method} ${url.pathname}`))
     }
   }
 
-  /** Carries out an effect of the core task. */
-  changeResult (effect: EffectOf<'changeResult'>): void {
-    const resolve = this.waiting.get(effect.callId)
-    this.waiting.delete(effect.callId)
+  /** Passes the core task's decision on a change to the request that waits for it. */
+  onChangeResult (effect: EffectOf<'changeResult'>): void {
+    const resolve = this.pendingChanges.get(effect.callId)
+    this.pendingChanges.delete(effect.callId)
     resolve?.(effect.result)
   }
 
-  private async change (req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async handleChange (req: IncomingMessage, res: ServerResponse): Promise<void> {
     const keyHash = keyHashOf(req)
     const body = await readJson(req)
-    if (body.isErr) return this.refuse(res, body.error)
+    if (body.isErr) return this.sendRefusal(res, body.error)
     const parsed = changeSchema.safeParse(body.value)
-    if (!parsed.success) return this.refuse(res, fieldError(parsed.error.issues[0]))
-    const change = toChange(parsed.data.change)
+    if (!parsed.success) return this.sendRefusal(res, fieldError(parsed.error.issues[0]))
+    const change = parseChange(parsed.data.change)
     if (change === undefined) {
       const contract = contractSchema.safeParse((parsed.data.change as { contract: unknown }).contract)
-      return this.refuse(res, contractError(contract.error?.issues[0]))
+      return this.sendRefusal(res, contractError(contract.error?.issues[0]))
     }
     const { changeId, reason } = parsed.data
-    const result = await this.ask({ changeId: changeId as ChangeId, keyHash, reason, change })
-    if (result.type === 'rejected') return this.refuse(res, result.error)
+    const result = await this.submitChange({ changeId: changeId as ChangeId, keyHash, reason, change })
+    if (result.type === 'rejected') return this.sendRefusal(res, result.error)
     const inForce = await this.waitInForce(result.version)
     sendJson(res, 200, { outcome: 'accepted', code: inForce.inForce ? 0 : codedError('notYetInForce', '').code, ...result, ...inForce })
   }
 
-  private ask (request: Extract<Parameters<Post>[0], { type: 'change' }>['request']): Promise<ChangeResult> {
-    const callId = `change-${++this.counter}`
+  private submitChange (request: Extract<Parameters<Post>[0], { type: 'change' }>['request']): Promise<ChangeResult> {
+    const callId = `change-${++this.lastCallNumber}`
     return new Promise((resolve) => {
-      this.waiting.set(callId, resolve)
+      this.pendingChanges.set(callId, resolve)
       this.post({ type: 'change', callId, request })
     })
   }
 
   private async waitInForce (version: number): Promise<InForceReport> {
-    const until = Date.now() + this.settings.inForceWaitMs
+    const deadline = Date.now() + this.settings.inForceWaitMs
     for (;;) {
       const missing = this.missingDomains(version)
       if (missing.length === 0) return { inForce: true, missingDomains: [] }
-      if (Date.now() >= until) return { inForce: false, missingDomains: missing }
+      if (Date.now() >= deadline) return { inForce: false, missingDomains: missing }
       await new Promise(resolve => setTimeout(resolve, IN_FORCE_POLL_MS))
     }
   }
@@ -134,8 +135,8 @@
     return { version, contracts: visible }
   }
 
-  /** Staff see entries about their own contract and about endpoints, which all share. */
-  private async audit (res: ServerResponse, actor: Actor): Promise<void> {
+  /** Customers' staff see entries about their own contract and about endpoints, which all customers share. */
+  private async sendAudit (res: ServerResponse, actor: Actor): Promise<void> {
     const { audit } = this.view.fleet()
     const archived = await this.archivedEntries(audit.archivedThrough)
     const entries = [...archived, ...audit.entries]
@@ -143,23 +144,23 @@
     sendJson(res, 200, { entries: visible, complete: actor.type === 'team', archivedThrough: audit.archivedThrough, archivedHash: audit.archivedHash })
   }
 
-  /** Chunks carry consecutive entries under the key of their first one. */
-  private async archivedEntries (through: number): Promise<Fleet['audit']['entries'][number][]> {
+  /** Reads the archived chunks in turn. Each holds consecutive entries; its key names the number of the first. */
+  private async archivedEntries (archivedThrough: number): Promise<Fleet['audit']['entries'][number][]> {
     const entries: Fleet['audit']['entries'][number][] = []
-    while (entries.length < through) {
+    while (entries.length < archivedThrough) {
       const chunk = await this.view.readArchive(`audit.${entries.length + 1}`)
       if (!Array.isArray(chunk) || chunk.length === 0) break
       entries.push(...(chunk as Fleet['audit']['entries'][number][]))
     }
-    return entries.slice(0, through)
+    return entries.slice(0, archivedThrough)
   }
 
-  private refuse (res: ServerResponse, error: CodedError): void {
+  private sendRefusal (res: ServerResponse, error: CodedError): void {
     sendJson(res, statusOf(error.code), { outcome: 'failed', ...error })
   }
 }
 
-function toChange (raw: z.output<typeof changeSchema>['change']): Change | undefined {
+function parseChange (raw: z.output<typeof changeSchema>['change']): Change | undefined {
   if (raw.type === 'endpoint') return { ...raw, endpoint: raw.endpoint as never, order: raw.order as EndpointOrder }
   const contract = contractSchema.safeParse(raw.contract)
   return contract.success ? { type: 'contract', contract: contract.data, expectedRevision: raw.expectedRevision } : undefined
--- a/packages/dispatcher/src/peers/peerCodec.spec.ts
+++ b/packages/dispatcher/src/peers/peerCodec.spec.ts
@@ -22,21 +22,21 @@
   { type: 'claimsRequest', epoch: 1, buckets: [1, 2, 255] }
 ]
 
-describe('the peer codec', () => {
+describe('peer codec', () => {
   for (const message of MESSAGES) {
-    it(`brings back ${JSON.stringify(message).slice(0, 60)}`, () => {
+    it(`round-trips ${JSON.stringify(message).slice(0, 60)}`, () => {
       const envelope = { from: 'entry-1' as InstanceId, message }
       expect(decodeEnvelope(encodeEnvelope(envelope))).to.deep.equal(envelope)
     })
   }
 
-  it('takes nothing else for an envelope', () => {
-    const others = [Buffer.alloc(0), Buffer.from('GET / HTTP/1.1'), Buffer.from([0xc1]), Buffer.from([0x92, 1, 2]), Buffer.from([0x92, 0xa1, 0x61, 0xc0])]
-    expect(others.map(decodeEnvelope)).to.deep.equal(others.map(() => undefined))
+  it('decodes empty, foreign and malformed input to undefined', () => {
+    const foreignInputs = [Buffer.alloc(0), Buffer.from('GET / HTTP/1.1'), Buffer.from([0xc1]), Buffer.from([0x92, 1, 2]), Buffer.from([0x92, 0xa1, 0x61, 0xc0])]
+    expect(foreignInputs.map(decodeEnvelope)).to.deep.equal(foreignInputs.map(() => undefined))
   })
 
-  it('keeps an entry of a heartbeat under 80 bytes', () => {
-    const one = encodeEnvelope({ from: ENTRY.instance, message: { type: 'gossip', fleetVersion: 4, entries: [ENTRY] } })
-    expect(one.length).to.be.lessThan(80)
+  it('encodes a gossip message with one entry in less than 80 bytes', () => {
+    const encoded = encodeEnvelope({ from: ENTRY.instance, message: { type: 'gossip', fleetVersion: 4, entries: [ENTRY] } })
+    expect(encoded.length).to.be.lessThan(80)
   })
 })
--- a/packages/dispatcher/src/peers/peerCodec.ts
+++ b/packages/dispatcher/src/peers/peerCodec.ts
@@ -1,20 +1,22 @@
 /**
- * Encodes envelopes with MessagePack. Heartbeats are by far the most frequent messages, so their entries travel as
- * lists of values in a fixed order instead of maps with names.
+ * Encodes and decodes, with MessagePack, the envelopes that instances exchange. Gossip messages carry the heartbeats
+ * and are by far the most frequent, so their member entries are arrays of values in a fixed order instead of maps with
+ * field names. All other messages are encoded as they are. The codec is separate from the gRPC service because the
+ * shard's links use it without gRPC.
  */
 import { Encoder, decode } from '@msgpack/msgpack'
 import type { InstanceId, MemberEntry, PeerMessage, ShardMessage } from '@cranberryyard/protocol'
 
-/** Messages that instances send each other. */
+/** Any message that one instance sends to another. */
 export type AnyPeerMessage = PeerMessage | ShardMessage
 
-/** A message with its sender. */
+/** A message and the instance that sent it. */
 export interface Envelope {
   readonly from: InstanceId
   readonly message: AnyPeerMessage
 }
 
-/** Order of an entry's values on the wire; new fields are added at the end. */
+/** Order of a member entry's values on the wire. Append new fields: the position of a value is its only name. */
 const ENTRY_FIELDS = [
   'instance',
   'incarnation',
@@ -31,29 +33,30 @@
 type WireEntry = readonly unknown[]
 type WireMessage = [from: InstanceId, message: AnyPeerMessage] | [from: InstanceId, fleetVersion: number, entries: readonly WireEntry[]]
 
-const HEARTBEAT_LENGTH = 3
-/** One for all messages: its buffer is used again. */
+/** Only gossip messages are arrays of this length; all others have the sender and the message. */
+const GOSSIP_TUPLE_LENGTH = 3
+/** Shared by all messages, so that its buffer is reused. */
 const encoder = new Encoder({ ignoreUndefined: true })
 
 /**
- * Encodes an envelope.
+ * Encodes an envelope for the wire.
  * @param envelope - sender and message
- * @returns bytes
+ * @returns the encoded bytes
  */
 export function encodeEnvelope (envelope: Envelope): Buffer {
   const { from, message } = envelope
   const wire: WireMessage = message.type === 'gossip'
-    ? [from, message.fleetVersion, message.entries.map(toWire)]
+    ? [from, message.fleetVersion, message.entries.map(entryToWire)]
     : [from, message]
   const { buffer, byteOffset, byteLength } = encoder.encode(wire)
   return Buffer.from(buffer, byteOffset, byteLength)
 }
 
 /**
- * Decodes an envelope. Whatever else arrives on the port, from another version or another program, is no envelope
- * and must not harm the instance.
- * @param bytes - what encodeEnvelope made
- * @returns sender and message, or undefined for anything else
+ * Decodes an envelope. Input of another version or another program may arrive on the port; it must not harm the
+ * instance, so the function never throws.
+ * @param bytes - the bytes received
+ * @returns sender and message, or undefined when the bytes are not an envelope
  */
 export function decodeEnvelope (bytes: Buffer): Envelope | undefined {
   try {
@@ -64,25 +67,26 @@
 }
 
 /**
- * Reads an envelope from its decoded form.
- * @param wire - what MessagePack gave
- * @returns sender and message, or undefined for anything else
+ * Reads an envelope from a value that MessagePack has decoded already. Checks only the outer form: the message may have
+ * any fields. Throws when the entries of a gossip message are not arrays.
+ * @param wire - the decoded value
+ * @returns sender and message, or undefined when the value is not an envelope
  */
 export function readEnvelope (wire: unknown): Envelope | undefined {
   if (!Array.isArray(wire) || typeof wire[0] !== 'string') return undefined
   const from = wire[0] as InstanceId
-  if (wire.length !== HEARTBEAT_LENGTH) {
+  if (wire.length !== GOSSIP_TUPLE_LENGTH) {
     const message = wire[1] as AnyPeerMessage | undefined
     return typeof message?.type === 'string' ? { from, message } : undefined
   }
   const [, fleetVersion, entries] = wire as [InstanceId, number, readonly WireEntry[]]
-  return { from, message: { type: 'gossip', fleetVersion, entries: entries.map(fromWire) } }
+  return { from, message: { type: 'gossip', fleetVersion, entries: entries.map(entryFromWire) } }
 }
 
-function toWire (entry: MemberEntry): WireEntry {
+function entryToWire (entry: MemberEntry): WireEntry {
   return ENTRY_FIELDS.map(field => entry[field])
 }
 
-function fromWire (values: WireEntry): MemberEntry {
+function entryFromWire (values: WireEntry): MemberEntry {
   return Object.fromEntries(ENTRY_FIELDS.map((field, i) => [field, values[i]])) as unknown as MemberEntry
 }
--- a/packages/dispatcher/src/peers/peerService.ts
+++ b/packages/dispatcher/src/peers/peerService.ts
@@ -1,6 +1,6 @@
 /**
- * The service between entry instances: one client-streaming gRPC method that carries envelopes.
- * docs/design/peer-protocol.md says why there is no schema compiler in between.
+ * Defines the gRPC service between entry instances: one client-streaming method that carries envelopes. The definition
+ * is written by hand on top of the peer codec; docs/design/peer-protocol.md says why no schema compiler generates it.
  */
 import { makeGenericClientConstructor } from '@grpc/grpc-js'
 import type { ServiceDefinition } from '@grpc/grpc-js'
@@ -9,7 +9,7 @@
 const emptyResponse = (): Buffer => Buffer.alloc(0)
 const ignoreResponse = (): object => ({})
 
-/** The service's definition. */
+/** Definition for server and client. The response is empty: a reply travels on the replying peer's own stream. */
 export const peerService = {
   channel: {
     path: '/cranberryyard.Peer/Channel',
@@ -22,5 +22,5 @@
   }
 } satisfies ServiceDefinition
 
-/** Client of the service. */
+/** Client of the peer service. */
 export const PeerClient = makeGenericClientConstructor(peerService, 'Peer')
--- a/packages/dispatcher/src/peers/peerTask.ts
+++ b/packages/dispatcher/src/peers/peerTask.ts
@@ -1,6 +1,7 @@
 /**
- * Owns the connections to other entry instances. Messages to one peer share one stream and keep their order.
- * A message counts as not sent only while no stream to its peer has been opened.
+ * Owns the connections between this entry instance and its peers. All messages to one peer share one stream, so they
+ * keep their order. The task reports a message as failed (`sendFailed`) only when no stream to the peer was open; once
+ * written to a stream, the message may have arrived, and the task reports the loss of the stream as `linkDown`.
  */
 import { Server, ServerCredentials, credentials } from '@grpc/grpc-js'
 import type { ClientWritableStream, ServerReadableStream, sendUnaryData, Client } from '@grpc/grpc-js'
@@ -10,10 +11,10 @@
 import { PeerClient, peerService } from './peerService.js'
 import type { Envelope } from './peerCodec.js'
 
-/** A peer that cannot be connected to within this span does not get the message. */
+/** When no connection is made within this time, the messages queued for the peer fail. */
 const CONNECT_TIMEOUT_MS = 800
-/** Messages that may wait for a connection; heartbeats to a dead peer must not pile up. */
-const WAITING_MAX = 2000
+/** Bound on the messages queued for a connection, so that heartbeats to a dead peer do not pile up. */
+const MAX_QUEUED_MESSAGES = 2000
 
 const CHANNEL_OPTIONS = {
   'grpc.enable_http_proxy': 0,
@@ -30,19 +31,21 @@
   channel (callback: (err: Error | null) => void): Stream
 }
 
+/** The outgoing connection to a peer. */
 interface Link {
   readonly client: ChannelClient
   readonly address: string
   stream: Stream | undefined
   connecting: boolean
-  readonly waiting: PeerMessage[]
+  /** Messages that wait for the connection. */
+  readonly queuedMessages: PeerMessage[]
 }
 
-/** Owns the peers' port and the links to peers. */
+/** Listens on the peer port and holds one link to each peer. */
 export class PeerTask {
   private readonly links = new Map<InstanceId, Link>()
   private readonly server = new Server(CHANNEL_OPTIONS)
-  /** Bytes of messages sent, as encoded. */
+  /** Total size of the messages sent, encoded. */
   bytesSent = 0
   private closed = false
 
@@ -50,27 +53,27 @@
     this.server.addService(peerService, { channel: (call: ServerReadableStream<Envelope | undefined, unknown>, done: sendUnaryData<unknown>) => this.receive(call, done) })
   }
 
-  /** Listens. @returns the port */
+  /** Binds the peer port. @returns the port, which differs from the given one when that is 0 */
   listen (address: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.bindAsync(`${address}:${port}`, this.serverCredentials(), (err, bound) => err === null ? resolve(bound) : reject(err))
     })
   }
 
-  /** Sends a message, connecting first if need be. */
+  /** Sends a message. Without an open stream, queues it and connects first; when the queue is full, it fails at once. */
   send (effect: EffectOf<'send'>): void {
     if (this.closed) return
-    const link = this.link(effect.to, effect.address)
+    const link = this.linkTo(effect.to, effect.address)
     if (link.stream !== undefined) {
       this.write(link.stream, effect.message)
       return
     }
-    if (link.waiting.length >= WAITING_MAX) this.fail(effect.to, [effect.message])
-    else link.waiting.push(effect.message)
+    if (link.queuedMessages.length >= MAX_QUEUED_MESSAGES) this.reportSendFailed(effect.to, [effect.message])
+    else link.queuedMessages.push(effect.message)
     if (!link.connecting) this.connect(effect.to, link)
   }
 
-  /** Closes all links. */
+  /** Closes all links and the peer port. */
   close (): void {
     this.closed = true
     for (const link of this.links.values()) {
@@ -94,12 +97,12 @@
     })
   }
 
-  private link (peer: InstanceId, address: string): Link {
+  private linkTo (peer: InstanceId, address: string): Link {
     const known = this.links.get(peer)
     if (known !== undefined && known.address === address) return known
     known?.client.close()
     const client = new PeerClient(address, this.clientCredentials(), CHANNEL_OPTIONS) as unknown as ChannelClient
-    const link: Link = { client, address, stream: undefined, connecting: false, waiting: known?.waiting ?? [] }
+    const link: Link = { client, address, stream: undefined, connecting: false, queuedMessages: known?.queuedMessages ?? [] }
     this.links.set(peer, link)
     return link
   }
@@ -109,19 +112,19 @@
     link.client.waitForReady(Date.now() + CONNECT_TIMEOUT_MS, (err) => {
       if (this.links.get(peer) !== link) return
       link.connecting = false
-      const waiting = link.waiting.splice(0)
+      const messages = link.queuedMessages.splice(0)
       if (err !== undefined && err !== null) {
-        this.fail(peer, waiting)
+        this.reportSendFailed(peer, messages)
         return
       }
-      const stream = this.open(peer, link)
-      for (const message of waiting) this.write(stream, message)
+      const stream = this.openStream(peer, link)
+      for (const message of messages) this.write(stream, message)
     })
   }
 
-  private open (peer: InstanceId, link: Link): Stream {
-    const stream = link.client.channel(() => this.lost(peer, link, stream))
-    stream.on('error', () => this.lost(peer, link, stream))
+  private openStream (peer: InstanceId, link: Link): Stream {
+    const stream = link.client.channel(() => this.handleStreamLoss(peer, link, stream))
+    stream.on('error', () => this.handleStreamLoss(peer, link, stream))
     link.stream = stream
     return stream
   }
@@ -130,13 +133,13 @@
     stream.write({ from: this.self, message })
   }
 
-  private lost (peer: InstanceId, link: Link, stream: Stream): void {
+  private handleStreamLoss (peer: InstanceId, link: Link, stream: Stream): void {
     if (link.stream !== stream || this.closed) return
     link.stream = undefined
     this.post({ type: 'linkDown', peer })
   }
 
-  private fail (to: InstanceId, messages: readonly PeerMessage[]): void {
+  private reportSendFailed (to: InstanceId, messages: readonly PeerMessage[]): void {
     if (this.closed) return
     for (const message of messages) this.post({ type: 'sendFailed', to, message })
   }
--- a/packages/dispatcher/src/platform/platformTask.ts
+++ b/packages/dispatcher/src/platform/platformTask.ts
@@ -1,5 +1,7 @@
 /**
- * Talks to the platform: the store's key with the fleet value, and the list of instances.
+ * Client of the platform: reads, watches and writes the fleet value in the platform's store, archives chunks of the
+ * audit trail there, and polls the list of instances and endpoints. Tells a write that failed before it was sent from
+ * one that may have taken effect.
  */
 import type { EndpointInfo, Fleet, Settings } from '@cranberryyard/protocol'
 import { EMPTY_FLEET } from '@cranberryyard/protocol'
@@ -8,35 +10,36 @@
 import type { EffectOf, Post } from '../messages.js'
 
 const FLEET_KEY = 'fleet'
-/** Margin that a watch gets beyond its own waiting time. */
+/** Time that a watch request gets beyond the wait that it asks the platform for. */
 const WATCH_MARGIN_MS = 2000
-/** Errors that say nothing was sent. */
+/** Errors that occur before anything is sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-interface PlatformList {
+/** Response of the platform to a request for the instance list. */
+interface InstanceList {
   readonly endpoints: readonly EndpointInfo[]
   readonly instances: readonly PeerAddress[]
 }
 
-/** Owns the connections to the platform. */
+/** Holds the connections to the platform and the timer that polls the instance list. */
 export class PlatformTask {
   private readonly pool: Pool
-  private timer: NodeJS.Timeout | undefined
+  private listTimer: NodeJS.Timeout | undefined
   private closed = false
 
   constructor (private readonly settings: Settings['platform'], private readonly failureDomain: string, private readonly post: Post) {
     this.pool = new Pool(`http://${settings.address}`, { connections: 8, connect: { timeout: settings.requestTimeoutMs } })
   }
 
-  /** Reads the instance list now and then periodically. */
-  startListing (): void {
-    void this.list().finally(() => {
-      if (!this.closed) this.timer = setTimeout(() => this.startListing(), this.settings.listPeriodMs)
+  /** Reads the instance list at once, then again `listPeriodMs` after each read has ended. */
+  startInstancePolling (): void {
+    void this.readInstanceList().finally(() => {
+      if (!this.closed) this.listTimer = setTimeout(() => this.startInstancePolling(), this.settings.listPeriodMs)
     })
   }
 
-  /** Reads the fleet value. */
-  async read (): Promise<void> {
+  /** Reads the fleet value and reports it; a missing key counts as an empty fleet at revision 0. */
+  async readFleet (): Promise<void> {
     try {
       const { status, text, revision } = await this.request('GET', `/v1/kv/${FLEET_KEY}`, undefined, this.settings.requestTimeoutMs)
       if (status === 200) this.post({ type: 'storeValue', source: 'read', revision, fleet: JSON.parse(text) as Fleet })
@@ -47,8 +50,8 @@
     }
   }
 
-  /** Waits for a newer fleet value. */
-  async watch (effect: EffectOf<'storeWatch'>): Promise<void> {
+  /** Waits up to `watchWaitMs` for a fleet value after the given revision and reports what came. */
+  async watchFleet (effect: EffectOf<'storeWatch'>): Promise<void> {
     const { watchWaitMs } = this.settings
     try {
       const path = `/v1/watch/${FLEET_KEY}?after=${effect.afterRevision}&waitMs=${watchWaitMs}`
@@ -61,20 +64,20 @@
     }
   }
 
-  /** Writes the fleet value by compare-and-swap. */
-  async cas (effect: EffectOf<'storeCas'>): Promise<void> {
+  /** Writes the fleet value by compare-and-swap and reports the outcome. */
+  async casFleet (effect: EffectOf<'storeCas'>): Promise<void> {
     const result = await this.put(FLEET_KEY, effect.expectedRevision, JSON.stringify(effect.fleet))
     this.post({ type: 'casOutcome', attempt: effect.attempt, result })
   }
 
-  /** Writes a chunk of the audit trail; the same chunk written before counts as written. */
-  async archive (effect: EffectOf<'storeArchive'>): Promise<void> {
+  /** Writes a chunk of the audit trail under a new key; a conflict with the same chunk, written before, is a success. */
+  async archiveAuditChunk (effect: EffectOf<'storeArchive'>): Promise<void> {
     const result = await this.put(effect.key, 0, effect.value)
-    const ok = result.type === 'written' || (result.type === 'conflict' && await this.holds(effect.key, effect.value))
+    const ok = result.type === 'written' || (result.type === 'conflict' && await this.storedValueEquals(effect.key, effect.value))
     this.post({ type: 'archiveOutcome', through: effect.through, ok })
   }
 
-  /** Reads any key. */
+  /** Reads any key of the store. @returns the parsed value, or undefined when it is missing or the read failed */
   async readKey (key: string): Promise<unknown> {
     try {
       const { status, text } = await this.request('GET', `/v1/kv/${key}`, undefined, this.settings.requestTimeoutMs)
@@ -84,14 +87,14 @@
     }
   }
 
-  /** Ends all calls. */
+  /** Stops polling and aborts all open requests. */
   async close (): Promise<void> {
     this.closed = true
-    clearTimeout(this.timer)
+    clearTimeout(this.listTimer)
     await this.pool.destroy()
   }
 
-  private async holds (key: string, value: string): Promise<boolean> {
+  private async storedValueEquals (key: string, value: string): Promise<boolean> {
     return JSON.stringify(await this.readKey(key)) === value
   }
 
@@ -106,14 +109,14 @@
     }
   }
 
-  private async list (): Promise<void> {
+  private async readInstanceList (): Promise<void> {
     try {
       const { status, text } = await this.request('GET', `/v1/instances?from=${this.failureDomain}`, undefined, this.settings.requestTimeoutMs)
       if (status !== 200) return
-      const list = JSON.parse(text) as PlatformList
+      const list = JSON.parse(text) as InstanceList
       this.post({ type: 'instanceList', endpoints: list.endpoints, peers: list.instances })
     } catch {
-      // The last list stays in use until the platform answers again.
+      // The previous list stays in use until the platform responds again.
     }
   }
 
--- a/packages/dispatcher/src/settingsCheck.ts
+++ b/packages/dispatcher/src/settingsCheck.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of the settings that go beyond their form: TLS needs its files unless a port is plain.
+ * Checks the settings that refer to files: unless a port is plain, its certificate and key files must exist, and for
+ * mutual TLS between peers the CA file too. The schema checks the form of the settings and does not access the disk.
  */
 import { existsSync } from 'node:fs'
 import { Result } from 'true-myth'
@@ -8,9 +9,9 @@
 const TLS_SECTIONS = ['callerTls', 'operatorTls', 'peerTls'] as const
 
 /**
- * Checks that the files named exist.
- * @param settings - settings of correct form
- * @returns the settings, or all faults
+ * Checks that the TLS files named in the settings exist.
+ * @param settings - settings that match the schema
+ * @returns the settings unchanged, or every fault found
  */
 export function checkFiles (settings: Settings): Result<Settings, readonly TomlFault[]> {
   const faults = TLS_SECTIONS.flatMap(section => faultsOf(section, settings[section]))
@@ -22,5 +23,5 @@
   const needed = section === 'peerTls' ? ['certFile', 'keyFile', 'caFile'] as const : ['certFile', 'keyFile'] as const
   return needed
     .filter(key => tls[key] === '' || !existsSync(tls[key]))
-    .map(key => ({ key: `${section}.${key}`, line: 0, message: tls[key] === '' ? 'needed unless plain = true' : 'no such file' }))
+    .map(key => ({ key: `${section}.${key}`, line: 0, message: tls[key] === '' ? 'required unless plain = true' : `no such file: ${tls[key]}` }))
 }
--- a/packages/dispatcher/src/tls.spec.ts
+++ b/packages/dispatcher/src/tls.spec.ts
@@ -16,7 +16,7 @@
 const SIZE = { slots: 8, cores: 8, memoryMb: 1000, accelerators: 0 }
 const PEER_PORTS = [14_801, 14_802] as const
 
-describe('TLS by settings', function () {
+describe('daemons with TLS enabled in the settings', function () {
   this.timeout(30_000)
   const platform = new PlatformFake()
   const endpoint = new EndpointFake(SIZE)
@@ -25,14 +25,14 @@
   let ca = ''
 
   before(async () => {
-    const pair = await generate([{ name: 'commonName', value: 'fleet' }], {
+    const certificate = await generate([{ name: 'commonName', value: 'fleet' }], {
       extensions: [{ name: 'basicConstraints', cA: true }, { name: 'subjectAltName', altNames: [{ type: 7, ip: '127.0.0.1' }] }]
     })
-    ca = pair.cert
+    ca = certificate.cert
     const folder = mkdtempSync(join(tmpdir(), 'cranberryyard-tls-'))
     const [certFile, keyFile] = [join(folder, 'cert.pem'), join(folder, 'key.pem')]
-    writeFileSync(certFile, pair.cert)
-    writeFileSync(keyFile, pair.private)
+    writeFileSync(certFile, certificate.cert)
+    writeFileSync(keyFile, certificate.private)
     const address = `127.0.0.1:${await endpoint.listen()}`
     platform.endpoints = [{ id: 'e' as EndpointId, failureDomain: 'one' as FailureDomain, rack: 'r', address, leaving: false, ...SIZE }]
     const contract = contractSchema.parse({
@@ -70,7 +70,7 @@
     })
   }
 
-  it('serves callers and lets instances work together by mutual TLS', async () => {
+  it('serve callers over TLS and cooperate over mutual TLS', async () => {
     for (const { caller } of ports) {
       const res = await request(`https://127.0.0.1:${caller}/v1/jobs`, {
         method: 'POST',
@@ -82,7 +82,7 @@
     }
   })
 
-  it('does not answer plain callers', async () => {
+  it('do not answer a caller that connects without TLS', async () => {
     const socket = connect(ports[0]?.caller ?? 0, '127.0.0.1')
     socket.write('GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n')
     const text = await new Promise<string>((resolve) => {
