--- a/packages/bench/src/shard/shardFleet.ts
+++ b/packages/bench/src/shard/shardFleet.ts
@@ -30,17 +30,17 @@
 type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
 const TICK_MS = 25
-const WATCH_DELAY_MS = 50
-const CALLER_RESEND_MS = 1300
+const DESIRED_STATE_PERIOD_MS = 50
+const CALLER_RESEND_DELAY_MS = 1300
 /** One instance of each domain has more processor time than the others; owners hand their shards to it. */
 const STRONG_CPU_MILLI = 1350
 const WEAK_CPU_MILLI = 324
 /** A process counts as in touch after this long without trouble. */
-const CONTACT_MS = 3000
+const STEADY_CONTACT_MS = 3000
 const SERVICE = 'workers' as ServiceName
 
 /** Size of a fleet. */
-export interface FleetShape {
+export interface FleetOptions {
   readonly domains: readonly string[]
   readonly instancesPerDomain: number
   readonly endpointsPerDomain: number
@@ -52,25 +52,25 @@
   readonly name: InstanceId
   readonly domain: FailureDomain
   core: ShardInstance
-  life: number
+  incarnation: number
   up: boolean
   frozen: boolean
   pace: ListPace
   /** Counts changes of the pace, so that the loops of an earlier one end. */
   paceChanges: number
   /** Inputs that arrived while the process stood still. */
-  backlog: ShardInput[]
+  frozenInputs: ShardInput[]
   /** Latest moment at which the process did not run or did not reach the store. */
-  troubledAt: number
+  lastDisturbedAt: number
   /** Calls of callers that wait for a reply, by call id. */
-  calls: Map<string, (reply: 'completed' | 'failed' | 'refused' | 'other') => void>
+  pendingCalls: Map<string, (reply: 'completed' | 'failed' | 'refused' | 'other') => void>
 }
 
 /** Faults of the store. */
 export interface StoreFaults {
   down: boolean
   /** Instances that the store does not serve. */
-  readonly deaf: Set<string>
+  readonly unservedInstances: Set<string>
   lostReplyShare: number
 }
 
@@ -80,7 +80,7 @@
   readonly tasks: number
   readonly sentAt: number
   reply: 'completed' | 'failed' | 'refused' | 'other' | undefined
-  tookMs: number | undefined
+  latencyMs: number | undefined
 }
 
 /** The fleet. */
@@ -90,17 +90,17 @@
   readonly processes = new Map<InstanceId, Process>()
   readonly endpoints = new Map<string, FencedEndpointModel>()
   readonly drainingEndpoints = new Set<string>()
-  readonly goneEndpoints = new Set<string>()
+  readonly departedEndpoints = new Set<string>()
   /** Endpoints whose entry in the store lapsed and is not back yet. */
   readonly lapsedEntries = new Set<string>()
   readonly store = new RecordStoreModel()
-  readonly storeFaults: StoreFaults = { down: false, deaf: new Set(), lostReplyShare: 0 }
+  readonly storeFaults: StoreFaults = { down: false, unservedInstances: new Set(), lostReplyShare: 0 }
   readonly jobs: CallerJob[] = []
   readonly logs: { readonly at: number, readonly instance: string, readonly event: string, readonly fields: object }[] = []
   /** Called with each message between instances as it is sent. */
   onMessage: (from: InstanceId, to: InstanceId, message: ShardMessage) => void = () => {}
   /** Pairs `from>to` between which nothing arrives. */
-  readonly cuts = new Set<string>()
+  readonly cutLinks = new Set<string>()
   /** Share of orders to endpoints that get no answer and take effect seconds later. */
   lateOrderShare = 0
   /** Share of orders that take effect at once and whose answer is lost. */
@@ -111,42 +111,42 @@
   private jobCounter = 0
   private callCounter = 0
 
-  constructor (private readonly shape: FleetShape) {
-    this.random = seededRandom(shape.seed)
-    this.desired = makeDesired(1)
-    for (const domain of shape.domains) {
-      for (let i = 0; i < shape.instancesPerDomain; i++) this.addProcess(`${domain}-${i}`, domain as FailureDomain)
-      for (let i = 0; i < shape.endpointsPerDomain; i++) this.addEndpoint(`e-${domain}-${i}`, domain as FailureDomain)
+  constructor (private readonly options: FleetOptions) {
+    this.random = seededRandom(options.seed)
+    this.desired = makeDesiredState(1)
+    for (const domain of options.domains) {
+      for (let i = 0; i < options.instancesPerDomain; i++) this.addProcess(`${domain}-${i}`, domain as FailureDomain)
+      for (let i = 0; i < options.endpointsPerDomain; i++) this.addEndpoint(`e-${domain}-${i}`, domain as FailureDomain)
     }
     for (const process of this.processes.values()) this.boot(process)
-    this.sweepEndpoints()
+    this.advanceEndpoints()
   }
 
   /** Runs the fleet for a while. */
-  run (forMs: number): void {
-    this.time.runUntil(this.time.now + forMs)
+  run (durationMs: number): void {
+    this.time.runUntil(this.time.now + durationMs)
   }
 
   /** @returns a whole number below n */
-  below (n: number): number {
+  randomBelow (n: number): number {
     return this.random.below(n)
   }
 
   /** Submits a job to an instance; a submission without a truthful end is sent again to any instance. */
   submit (at: InstanceId, tasks: number, spec: ModelTask): CallerJob {
-    const job: CallerJob = { id: (++this.jobCounter).toString(16).padStart(16, '0') as JobId, tasks, sentAt: this.time.now, reply: undefined, tookMs: undefined }
+    const job: CallerJob = { id: (++this.jobCounter).toString(16).padStart(16, '0') as JobId, tasks, sentAt: this.time.now, reply: undefined, latencyMs: undefined }
     this.jobs.push(job)
-    this.send(job, at, spec, 1)
+    this.sendSubmission(job, at, spec, 1)
     return job
   }
 
-  /** Kills a process; it starts again after a while, with another life. */
+  /** Kills a process; it starts again after a while, with another incarnation. */
   kill (name: InstanceId, downMs: number): void {
     const process = this.process(name)
     if (!process.up) return
     process.up = false
     process.frozen = false
-    this.breakCalls(process)
+    this.failPendingCalls(process)
     this.time.after(0.3, () => {
       for (const other of this.processes.values()) this.post(other, { type: 'linkDown', peer: name })
     })
@@ -154,15 +154,15 @@
   }
 
   /** A process stands still for a while; its clocks go on. */
-  freeze (name: InstanceId, forMs: number): void {
+  freeze (name: InstanceId, durationMs: number): void {
     const process = this.process(name)
     if (!process.up || process.frozen) return
     process.frozen = true
-    const { life } = process
-    this.time.after(forMs, () => {
-      if (process.life !== life) return
+    const { incarnation } = process
+    this.time.after(durationMs, () => {
+      if (process.incarnation !== incarnation) return
       process.frozen = false
-      for (const input of process.backlog.splice(0)) this.post(process, input)
+      for (const input of process.frozenInputs.splice(0)) this.post(process, input)
     })
   }
 
@@ -174,9 +174,9 @@
   }
 
   /** Cuts a failure domain off from the others and the store. */
-  cutDomain (domain: string, forMs: number): void {
-    const inside = [...this.processes.values()].filter(p => p.domain === domain)
-    for (const process of inside) this.storeFaults.deaf.add(process.name)
+  cutDomain (domain: string, durationMs: number): void {
+    const isolatedProcesses = [...this.processes.values()].filter(p => p.domain === domain)
+    for (const process of isolatedProcesses) this.storeFaults.unservedInstances.add(process.name)
     const pairs: string[] = []
     for (const [node, nodeDomain] of this.domainOf) {
       if (nodeDomain === domain) continue
@@ -184,14 +184,14 @@
         if (otherDomain === domain) pairs.push(`${node}>${other}`, `${other}>${node}`)
       }
     }
-    this.cutPairs(pairs, forMs)
-    this.time.after(forMs, () => inside.forEach(process => this.storeFaults.deaf.delete(process.name)))
+    this.cutPairs(pairs, durationMs)
+    this.time.after(durationMs, () => isolatedProcesses.forEach(process => this.storeFaults.unservedInstances.delete(process.name)))
   }
 
   /** Nothing arrives between the pairs for a while. */
-  cutPairs (pairs: readonly string[], forMs: number): void {
-    for (const pair of pairs) this.cuts.add(pair)
-    this.time.after(forMs, () => pairs.forEach(pair => this.cuts.delete(pair)))
+  cutPairs (pairs: readonly string[], durationMs: number): void {
+    for (const pair of pairs) this.cutLinks.add(pair)
+    this.time.after(durationMs, () => pairs.forEach(pair => this.cutLinks.delete(pair)))
   }
 
   /** Entries of a domain's endpoints lapse and come back one by one. */
@@ -199,49 +199,49 @@
     for (const id of this.endpoints.keys()) {
       if (this.domainOf.get(id) !== domain) continue
       this.lapsedEntries.add(id)
-      this.time.after(300 + this.below(1500), () => this.lapsedEntries.delete(id))
+      this.time.after(300 + this.randomBelow(1500), () => this.lapsedEntries.delete(id))
     }
   }
 
   /** The connections of two instances are replaced. */
-  relink (a: InstanceId, b: InstanceId): void {
+  replaceConnections (a: InstanceId, b: InstanceId): void {
     this.post(this.process(a), { type: 'linkDown', peer: b })
     this.post(this.process(b), { type: 'linkDown', peer: a })
   }
 
   /** An endpoint crashes and is back under the same id. */
-  rebirth (id: string): void {
-    this.endpoints.get(id)?.rebirth(this.time.now)
+  restartEndpoint (id: string): void {
+    this.endpoints.get(id)?.restart(this.time.now)
   }
 
   /** An endpoint reports that it drains, and leaves later. */
   drain (id: string, leaveAfterMs: number): void {
     this.drainingEndpoints.add(id)
-    this.oracle.draining(id, this.time.now)
+    this.oracle.recordDraining(id, this.time.now)
     this.time.after(leaveAfterMs, () => {
-      this.goneEndpoints.add(id)
+      this.departedEndpoints.add(id)
       this.endpoints.get(id)?.runs.clear()
     })
   }
 
   /** Operators bring another version of the desired state. */
-  changeDesired (): void {
-    this.desired = makeDesired(this.desired.version + 1 + this.below(3))
+  changeDesiredState (): void {
+    this.desired = makeDesiredState(this.desired.version + 1 + this.randomBelow(3))
   }
 
   private addProcess (name: string, domain: FailureDomain): void {
     this.domainOf.set(name, domain)
-    this.processes.set(name as InstanceId, { name: name as InstanceId, domain, core: this.makeCore(name as InstanceId, domain, 1), life: 0, up: false, frozen: false, pace: 'near', paceChanges: 0, backlog: [], troubledAt: 0, calls: new Map() })
+    this.processes.set(name as InstanceId, { name: name as InstanceId, domain, core: this.makeCore(name as InstanceId, domain, 1), incarnation: 0, up: false, frozen: false, pace: 'near', paceChanges: 0, frozenInputs: [], lastDisturbedAt: 0, pendingCalls: new Map() })
   }
 
   private addEndpoint (id: string, domain: FailureDomain): void {
     this.domainOf.set(id, domain)
-    this.endpoints.set(id, new FencedEndpointModel(id, this.below(3) === 0 ? 48_000 : 32_000, this.time.now, (run, how) => this.oracle.ended(run, how)))
+    this.endpoints.set(id, new FencedEndpointModel(id, this.randomBelow(3) === 0 ? 48_000 : 32_000, this.time.now, (run, how) => this.oracle.ended(run, how)))
   }
 
-  private makeCore (name: InstanceId, domain: FailureDomain, life: number): ShardInstance {
-    const cfg = { ...SHARD_DEFAULTS, ...this.shape.cfg }
-    return new ShardInstance({ self: { instance: name, incarnation: life, failureDomain: domain, address: name, cpuMilli: name.endsWith('-1') ? STRONG_CPU_MILLI : WEAK_CPU_MILLI }, cfg })
+  private makeCore (name: InstanceId, domain: FailureDomain, incarnation: number): ShardInstance {
+    const cfg = { ...SHARD_DEFAULTS, ...this.options.cfg }
+    return new ShardInstance({ self: { instance: name, incarnation, failureDomain: domain, address: name, cpuMilli: name.endsWith('-1') ? STRONG_CPU_MILLI : WEAK_CPU_MILLI }, cfg })
   }
 
   private process (name: InstanceId): Process {
@@ -251,58 +251,58 @@
   }
 
   private boot (process: Process): void {
-    process.life++
+    process.incarnation++
     process.up = true
     process.frozen = false
-    process.backlog = []
-    process.core = this.makeCore(process.name, process.domain, process.life)
-    const { life } = process
-    this.carryOut(process, process.core.start(ms(this.time.now)))
-    const every = (period: number, step: () => void): void => {
-      if (process.life !== life || !process.up) return
+    process.frozenInputs = []
+    process.core = this.makeCore(process.name, process.domain, process.incarnation)
+    const { incarnation } = process
+    this.executeEffects(process, process.core.start(ms(this.time.now)))
+    const repeatEvery = (period: number, step: () => void): void => {
+      if (process.incarnation !== incarnation || !process.up) return
       step()
-      this.time.after(period, () => every(period, step))
+      this.time.after(period, () => repeatEvery(period, step))
     }
-    every(TICK_MS, () => this.post(process, { type: 'tick' }))
+    repeatEvery(TICK_MS, () => this.post(process, { type: 'tick' }))
     this.setPace(process, 'near')
-    every(WATCH_DELAY_MS, () => this.storeServes(process) && this.post(process, { type: 'desired', state: this.desired }))
+    repeatEvery(DESIRED_STATE_PERIOD_MS, () => this.canReachStore(process) && this.post(process, { type: 'desired', state: this.desired }))
   }
 
   /** Reads the lists now and at the new pace. */
   private setPace (process: Process, pace: ListPace): void {
-    const slower = ENDPOINTS_MS[pace] > ENDPOINTS_MS[process.pace]
+    const slowsDown = ENDPOINTS_MS[pace] > ENDPOINTS_MS[process.pace]
     process.pace = pace
     const change = ++process.paceChanges
-    const every = (period: number, step: () => void, first: number): void => {
+    const repeatEvery = (period: number, step: () => void, first: number): void => {
       this.time.after(first, () => {
         if (process.paceChanges !== change || !process.up) return
         step()
-        every(period, step, period)
+        repeatEvery(period, step, period)
       })
     }
-    every(RECORDS_MS[pace], () => this.readRecords(process), slower ? RECORDS_MS[pace] : 0)
-    every(ENDPOINTS_MS[pace], () => this.readEndpoints(process), slower ? ENDPOINTS_MS[pace] : 0)
+    repeatEvery(RECORDS_MS[pace], () => this.readRecords(process), slowsDown ? RECORDS_MS[pace] : 0)
+    repeatEvery(ENDPOINTS_MS[pace], () => this.readEndpoints(process), slowsDown ? ENDPOINTS_MS[pace] : 0)
   }
 
-  private storeServes (process: Process): boolean {
-    return !this.storeFaults.down && !this.storeFaults.deaf.has(process.name)
+  private canReachStore (process: Process): boolean {
+    return !this.storeFaults.down && !this.storeFaults.unservedInstances.has(process.name)
   }
 
   /** @returns true when the process ran and reached the store all through the span that the rules with a time bound ask for */
-  private inTouch (process: Process): boolean {
-    return !process.frozen && this.time.now - process.troubledAt > CONTACT_MS
+  private hadSteadyContact (process: Process): boolean {
+    return !process.frozen && this.time.now - process.lastDisturbedAt > STEADY_CONTACT_MS
   }
 
   /** Notes processes that are in trouble now. */
-  private noteTrouble (): void {
+  private recordDisturbances (): void {
     for (const process of this.processes.values()) {
-      if (!process.up || process.frozen || !this.storeServes(process) || this.storeFaults.lostReplyShare > 0) process.troubledAt = this.time.now
+      if (!process.up || process.frozen || !this.canReachStore(process) || this.storeFaults.lostReplyShare > 0) process.lastDisturbedAt = this.time.now
     }
   }
 
   private readRecords (process: Process): void {
     this.time.after(4, () => {
-      const reachable = this.storeServes(process)
+      const reachable = this.canReachStore(process)
       this.post(process, { type: 'storeReachable', reachable })
       if (!reachable) return
       const items = this.store.range('')
@@ -314,12 +314,12 @@
   private readEndpoints (process: Process): void {
     const fresh = process.pace === 'owner'
     this.time.after(4, () => {
-      if (this.storeServes(process)) this.post(process, { type: 'endpoints', reports: this.reports(), fresh })
+      if (this.canReachStore(process)) this.post(process, { type: 'endpoints', reports: this.reports(), fresh })
     })
   }
 
   private reports (): EndpointReport[] {
-    return [...this.endpoints.values()].filter(endpoint => !this.goneEndpoints.has(endpoint.id) && !this.lapsedEntries.has(endpoint.id)).map(endpoint => ({
+    return [...this.endpoints.values()].filter(endpoint => !this.departedEndpoints.has(endpoint.id) && !this.lapsedEntries.has(endpoint.id)).map(endpoint => ({
       id: endpoint.id as EndpointId,
       service: SERVICE,
       address: endpoint.id,
@@ -334,29 +334,29 @@
   private post (process: Process, input: ShardInput): void {
     if (!process.up) return
     if (process.frozen) {
-      if (input.type !== 'tick') process.backlog.push(input)
+      if (input.type !== 'tick') process.frozenInputs.push(input)
       return
     }
     const now = ms(this.time.now)
     const effects = process.core.handle(input, now, now)
-    this.oracle.version(`${process.name}#${process.life}`, process.core.desired.db.version(), now)
-    this.carryOut(process, effects)
+    this.oracle.recordDesiredVersion(`${process.name}#${process.incarnation}`, process.core.desired.db.version(), now)
+    this.executeEffects(process, effects)
   }
 
-  private carryOut (process: Process, effects: readonly ShardEffect[]): void {
-    for (const effect of effects) this.carryOutOne(process, effect)
+  private executeEffects (process: Process, effects: readonly ShardEffect[]): void {
+    for (const effect of effects) this.executeEffect(process, effect)
   }
 
-  private carryOutOne (process: Process, effect: ShardEffect): void {
+  private executeEffect (process: Process, effect: ShardEffect): void {
     switch (effect.type) {
       case 'reply': return this.reply(process, effect)
       case 'send': return this.deliver(process, effect.to, effect.message)
-      case 'resetLink': return this.later(process, 0, () => ({ type: 'linkDown', peer: effect.peer }))
+      case 'resetLink': return this.postLater(process, 0, () => ({ type: 'linkDown', peer: effect.peer }))
       case 'hold': return this.hold(process, effect)
       case 'startTask': return this.startTask(process, effect)
       case 'stopTask': return this.stopTask(process, effect)
       case 'writeMember':
-        if (this.storeServes(process)) this.store.write(`member/${process.name}`, JSON.stringify(effect.record), undefined)
+        if (this.canReachStore(process)) this.store.write(`member/${process.name}`, JSON.stringify(effect.record), undefined)
         return this.time.after(5, () => this.readRecords(process))
       case 'claimShard': return this.claim(process, effect)
       case 'refreshRecords': return this.readRecords(process)
@@ -369,142 +369,142 @@
     }
   }
 
-  /** Posts an input to the same life of a process after a delay. */
-  private later (process: Process, delay: number, input: () => ShardInput): void {
-    const { life } = process
-    this.time.after(delay, () => process.life === life && this.post(process, input()))
+  /** Posts an input to the same incarnation of a process after a delay. */
+  private postLater (process: Process, delayMs: number, input: () => ShardInput): void {
+    const { incarnation } = process
+    this.time.after(delayMs, () => process.incarnation === incarnation && this.post(process, input()))
   }
 
-  private delay (from: string, to: string): number {
-    return (this.domainOf.get(from) === this.domainOf.get(to) ? 0.1 : 1.4) + this.below(10) / 10
+  private linkDelayMs (from: string, to: string): number {
+    return (this.domainOf.get(from) === this.domainOf.get(to) ? 0.1 : 1.4) + this.randomBelow(10) / 10
   }
 
   private isCut (from: string, to: string): boolean {
-    return this.cuts.has(`${from}>${to}`)
+    return this.cutLinks.has(`${from}>${to}`)
   }
 
   private deliver (process: Process, to: InstanceId, message: ShardMessage): void {
     const target = this.process(to)
     this.onMessage(process.name, to, message)
     if (this.isCut(process.name, to)) return
-    const delay = this.delay(process.name, to)
-    this.time.after(delay, () => {
+    const delayMs = this.linkDelayMs(process.name, to)
+    this.time.after(delayMs, () => {
       if (target.up) this.post(target, { type: 'peer', from: process.name, message })
-      else this.later(process, delay, () => ({ type: 'sendFailed', to, message }))
+      else this.postLater(process, delayMs, () => ({ type: 'sendFailed', to, message }))
     })
   }
 
   /** Carries an order to an endpoint: lost, late, or answered. */
-  private order<T> (process: Process, id: EndpointId, timeoutMs: number, execute: (endpoint: FencedEndpointModel, answer: (outcome: T) => void) => void, report: (outcome: T | { type: 'silent' }) => ShardInput): void {
+  private sendOrder<T> (process: Process, id: EndpointId, timeoutMs: number, execute: (endpoint: FencedEndpointModel, answer: (outcome: T) => void) => void, toInput: (outcome: T | { type: 'silent' }) => ShardInput): void {
     const endpoint = this.endpoints.get(id)
     let settled = false
     const settle = (outcome: T | { type: 'silent' }): void => {
       if (settled) return
       settled = true
-      this.later(process, 0, () => report(outcome))
+      this.postLater(process, 0, () => toInput(outcome))
     }
     this.time.after(timeoutMs, () => settle({ type: 'silent' }))
     if (endpoint === undefined || this.isCut(process.name, id)) return
-    const late = this.below(1000) < this.lateOrderShare * 1000
-    const lost = this.below(1000) < this.lostAnswerShare * 1000
-    const there = this.delay(process.name, id)
+    const late = this.randomBelow(1000) < this.lateOrderShare * 1000
+    const lost = this.randomBelow(1000) < this.lostAnswerShare * 1000
+    const deliveryDelayMs = this.linkDelayMs(process.name, id)
     const { bornAt } = endpoint
-    this.time.after(late ? 2000 + this.below(10_000) : there, () => {
-      if (this.goneEndpoints.has(id) || endpoint.bornAt !== bornAt) return
+    this.time.after(late ? 2000 + this.randomBelow(10_000) : deliveryDelayMs, () => {
+      if (this.departedEndpoints.has(id) || endpoint.bornAt !== bornAt) return
       execute(endpoint, (outcome) => {
         if (late || lost || this.isCut(id, process.name)) return
-        this.time.after(this.delay(id, process.name), () => settle(outcome))
+        this.time.after(this.linkDelayMs(id, process.name), () => settle(outcome))
       })
     })
   }
 
   private hold (process: Process, effect: EffectOf<'hold'>): void {
     type Outcome = Extract<ShardInput, { type: 'holdOutcome' }>['outcome']
-    this.order<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
+    this.sendOrder<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
       if (!endpoint.hold(this.time.now, effect.token, effect.acknowledged, effect.extendTo)) {
         answer({ type: 'fenced' })
         return
       }
       let answered = false
-      const list = (): void => {
+      const answerListing = (): void => {
         if (answered) return
         answered = true
         const { clock, bornAt, running, ended } = endpoint.listing(this.time.now)
         answer({ type: 'listed', listing: { clock: clock as EndpointClockMs, bornAt, running: running.map(row => ({ ...row, task: row.task as TaskName })), ended: ended.map(row => ({ ...row, task: row.task as TaskName })) } })
       }
-      if (effect.waitMs === 0) return list()
-      endpoint.onNextEnd(list)
-      this.time.after(effect.waitMs, list)
+      if (effect.waitMs === 0) return answerListing()
+      endpoint.onNextEnd(answerListing)
+      this.time.after(effect.waitMs, answerListing)
     }, outcome => ({ type: 'holdOutcome', endpoint: effect.endpoint, orderId: effect.orderId, outcome }))
   }
 
   private startTask (process: Process, effect: EffectOf<'startTask'>): void {
     type Outcome = Extract<ShardInput, { type: 'taskStartOutcome' }>['outcome']
     const spec = JSON.parse(effect.spec) as ModelTask
-    this.order<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
-      const known = endpoint.runs.get(effect.task)
+    this.sendOrder<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
+      const previousRun = endpoint.runs.get(effect.task)
       const reply = endpoint.start(this.time.now, { token: effect.token, task: effect.task, run: effect.run, spec, untilMs: effect.notAfter })
-      if (reply === 'started' && endpoint.runs.get(effect.task) !== known) this.oracle.started(endpoint, effect.task, this.time.now, this.inTouch(process))
+      if (reply === 'started' && endpoint.runs.get(effect.task) !== previousRun) this.oracle.started(endpoint, effect.task, this.time.now, this.hadSteadyContact(process))
       answer(reply === 'started' ? { type: 'started', clock: endpoint.clock(this.time.now) as EndpointClockMs } : { type: reply })
     }, outcome => ({ type: 'taskStartOutcome', endpoint: effect.endpoint, orderId: effect.orderId, outcome }))
   }
 
   private stopTask (process: Process, effect: EffectOf<'stopTask'>): void {
     type Outcome = Extract<ShardInput, { type: 'taskStopOutcome' }>['outcome']
-    this.order<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
+    this.sendOrder<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
       answer({ type: endpoint.stop(this.time.now, effect.token, effect.task, effect.run) })
     }, outcome => ({ type: 'taskStopOutcome', endpoint: effect.endpoint, orderId: effect.orderId, outcome }))
   }
 
   private claim (process: Process, effect: EffectOf<'claimShard'>): void {
-    if (!this.storeServes(process)) return this.later(process, 4, () => ({ type: 'claimOutcome', claimId: effect.claimId, result: { type: 'unavailable' } }))
-    const lost = this.below(1000) < this.storeFaults.lostReplyShare * 1000
-    this.time.after(lost ? this.below(3000) : 2, () => {
+    if (!this.canReachStore(process)) return this.postLater(process, 4, () => ({ type: 'claimOutcome', claimId: effect.claimId, result: { type: 'unavailable' } }))
+    const lost = this.randomBelow(1000) < this.storeFaults.lostReplyShare * 1000
+    this.time.after(lost ? this.randomBelow(3000) : 2, () => {
       const revision = this.store.write(`shard/${effect.record.failureDomain}`, JSON.stringify(effect.record), effect.expectedRevision)
       if (lost) return
-      this.later(process, 2, () => ({ type: 'claimOutcome', claimId: effect.claimId, result: revision === undefined ? { type: 'conflict' } : { type: 'written', revision } }))
+      this.postLater(process, 2, () => ({ type: 'claimOutcome', claimId: effect.claimId, result: revision === undefined ? { type: 'conflict' } : { type: 'written', revision } }))
     })
   }
 
-  private send (job: CallerJob, at: InstanceId, spec: ModelTask, attempt: number): void {
+  private sendSubmission (job: CallerJob, at: InstanceId, spec: ModelTask, attempt: number): void {
     const process = this.process(at)
     const callId = `${at}-${++this.callCounter}`
     this.oracle.submitted(job.id, job.tasks)
-    const done = (reply: 'completed' | 'failed' | 'refused' | 'other'): void => {
+    const onReply = (reply: 'completed' | 'failed' | 'refused' | 'other'): void => {
       this.oracle.replied(job.id, reply, this.time.now)
       if (reply === 'other' && attempt < 4) {
         const names = [...this.processes.keys()]
-        this.time.after(CALLER_RESEND_MS, () => this.send(job, names[this.below(names.length)] ?? at, spec, attempt + 1))
+        this.time.after(CALLER_RESEND_DELAY_MS, () => this.sendSubmission(job, names[this.randomBelow(names.length)] ?? at, spec, attempt + 1))
         return
       }
       job.reply = reply
-      job.tookMs = this.time.now - job.sentAt
+      job.latencyMs = this.time.now - job.sentAt
     }
     this.time.after(3, () => {
-      if (!process.up) return done('other')
-      process.calls.set(callId, done)
+      if (!process.up) return onReply('other')
+      process.pendingCalls.set(callId, onReply)
       this.post(process, { type: 'submit', callId, host: 'queue.example', path: `/q/${job.id}`, job: makeJob(job, spec), deadlineMs: ms(6000) })
     })
   }
 
   private reply (process: Process, effect: EffectOf<'reply'>): void {
-    const done = process.calls.get(effect.callId)
-    process.calls.delete(effect.callId)
+    const onReply = process.pendingCalls.get(effect.callId)
+    process.pendingCalls.delete(effect.callId)
     const { reply } = effect
-    this.time.after(3, () => done?.(reply.type === 'ended' ? reply.outcome : reply.type === 'refused' ? 'refused' : 'other'))
+    this.time.after(3, () => onReply?.(reply.type === 'ended' ? reply.outcome : reply.type === 'refused' ? 'refused' : 'other'))
   }
 
-  private breakCalls (process: Process): void {
-    const calls = [...process.calls.values()]
-    process.calls.clear()
-    for (const done of calls) this.time.after(3, () => done('other'))
+  private failPendingCalls (process: Process): void {
+    const calls = [...process.pendingCalls.values()]
+    process.pendingCalls.clear()
+    for (const onReply of calls) this.time.after(3, () => onReply('other'))
   }
 
   /** Brings endpoints up to date often, so that waiting holds end at the right time. */
-  private sweepEndpoints (): void {
-    this.noteTrouble()
+  private advanceEndpoints (): void {
+    this.recordDisturbances()
     for (const endpoint of this.endpoints.values()) endpoint.advance(this.time.now)
-    this.time.after(1, () => this.sweepEndpoints())
+    this.time.after(1, () => this.advanceEndpoints())
   }
 }
 
@@ -513,7 +513,7 @@
   return { id: job.id, spec: JSON.stringify(spec), features: [], steps: [{ count: job.tasks, needs, estimateMs: ms(spec.workMs), after: [], requiredLabel: '', preferredRack: '', maxPerEndpoint: 0 }] }
 }
 
-function makeDesired (version: number): DesiredState {
+function makeDesiredState (version: number): DesiredState {
   const queue = { name: 'q' as QueueName, host: 'queue.example', prefix: '/q/', service: SERVICE, priority: 0, maxAttempts: 4, stretch: 1.6, latencyObjectiveMs: ms(60), needsAdvice: false }
   return { version, queues: [queue], services: [{ name: SERVICE, guardsCapacity: false }] }
 }
--- a/packages/bench/src/shard/shardFuzz.spec.ts
+++ b/packages/bench/src/shard/shardFuzz.spec.ts
@@ -4,30 +4,30 @@
 import { SHARD_MUTATIONS } from './shardMutations.js'
 import { runShardScenario } from './shardScenario.js'
 
-const FAULTY_MS = 15_000
+const FAULT_PHASE_MS = 15_000
 const JOBS_PER_SECOND = 30
-const SEEDS = 20
+const SEED_COUNT = 20
 /** Seeds that broke a promise once, with the cause. */
-const FAILED_SEEDS = [
+const REGRESSION_SEEDS = [
   { seed: 9314, cause: 'an instance that had read the list once, while entries were missing, took over' },
   { seed: 9423, cause: 'runs at an endpoint that answered were given up when its entry was missing' },
   { seed: 9429, cause: 'an earlier owner was at work on endpoints that the new one did not know' }
 ] as const
 /** Above the fleet's room, so that jobs are declined too. */
-const OVERLOAD_PER_SECOND = 60
+const OVERLOAD_JOBS_PER_SECOND = 60
 
 describe('shards under faults', function () {
   this.timeout(120_000)
 
-  for (let seed = 1; seed <= SEEDS; seed++) {
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
     it(`keep every promise with seed ${seed}`, () => {
-      expect(runShardScenario(seed, FAULTY_MS, JOBS_PER_SECOND).violations).to.deep.equal([])
+      expect(runShardScenario(seed, FAULT_PHASE_MS, JOBS_PER_SECOND).violations).to.deep.equal([])
     })
   }
 
-  for (const { seed, cause } of FAILED_SEEDS) {
+  for (const { seed, cause } of REGRESSION_SEEDS) {
     it(`keep every promise with seed ${seed}, which failed once: ${cause}`, () => {
-      expect(runShardScenario(seed, FAULTY_MS, JOBS_PER_SECOND).violations).to.deep.equal([])
+      expect(runShardScenario(seed, FAULT_PHASE_MS, JOBS_PER_SECOND).violations).to.deep.equal([])
     })
   }
 
@@ -57,7 +57,7 @@
     it(`shows when ${mutation.name}`, () => {
       const undo = mutation.apply()
       try {
-        const rules = new Set(mutation.seeds.flatMap(seed => runShardScenario(seed, FAULTY_MS, OVERLOAD_PER_SECOND).violations.map(v => v.rule)))
+        const rules = new Set(mutation.seeds.flatMap(seed => runShardScenario(seed, FAULT_PHASE_MS, OVERLOAD_JOBS_PER_SECOND).violations.map(v => v.rule)))
         expect(mutation.breaks.some(rule => rules.has(rule)), `only ${[...rules].join()} seen`).to.equal(true)
       } finally {
         undo()
--- a/packages/bench/src/shard/shardScenario.ts
+++ b/packages/bench/src/shard/shardScenario.ts
@@ -7,8 +7,8 @@
 
 const DOMAINS = ['a', 'b', 'c'] as const
 const WARM_UP_MS = 2000
-const QUIET_END_MS = 8000
-const FAULT_PAUSE_MS = 700
+const FAULT_FREE_MS = 8000
+const MEAN_FAULT_INTERVAL_MS = 700
 
 /** What a run came to. */
 export interface ScenarioResult {
@@ -29,14 +29,14 @@
 const FAULTS: readonly Fault[] = [
   (fleet) => {
     const name = pickInstance(fleet)
-    fleet.kill(name, 100 + fleet.below(1500))
+    fleet.kill(name, 100 + fleet.randomBelow(1500))
     return `kill ${name}`
   },
   (fleet) => {
     const name = pickInstance(fleet)
-    const forMs = 300 + fleet.below(3500)
-    fleet.freeze(name, forMs)
-    return `freeze ${name} ${forMs}`
+    const durationMs = 300 + fleet.randomBelow(3500)
+    fleet.freeze(name, durationMs)
+    return `freeze ${name} ${durationMs}`
   },
   (fleet) => {
     const name = pickInstance(fleet)
@@ -45,35 +45,35 @@
   },
   (fleet) => {
     const domain = pick(fleet, DOMAINS)
-    const forMs = 1000 + fleet.below(4000)
-    fleet.cutDomain(domain, forMs)
-    return `cut ${domain} ${forMs}`
+    const durationMs = 1000 + fleet.randomBelow(4000)
+    fleet.cutDomain(domain, durationMs)
+    return `cut ${domain} ${durationMs}`
   },
   (fleet) => {
     const [a, b] = [pickInstance(fleet), pickInstance(fleet)]
-    const pairs = fleet.below(2) === 0 ? [`${a}>${b}`] : [`${a}>${b}`, `${b}>${a}`]
-    fleet.cutPairs(pairs, 500 + fleet.below(3000))
+    const pairs = fleet.randomBelow(2) === 0 ? [`${a}>${b}`] : [`${a}>${b}`, `${b}>${a}`]
+    fleet.cutPairs(pairs, 500 + fleet.randomBelow(3000))
     return `cut ${pairs.join()}`
   },
   (fleet) => {
     const name = pickInstance(fleet)
     const endpoint = pickEndpoint(fleet)
-    const pairs = fleet.below(2) === 0 ? [`${endpoint.id}>${name}`] : [`${name}>${endpoint.id}`, `${endpoint.id}>${name}`]
-    fleet.cutPairs(pairs, 500 + fleet.below(4000))
+    const pairs = fleet.randomBelow(2) === 0 ? [`${endpoint.id}>${name}`] : [`${name}>${endpoint.id}`, `${endpoint.id}>${name}`]
+    fleet.cutPairs(pairs, 500 + fleet.randomBelow(4000))
     return `cut ${pairs.join()}`
   },
   (fleet) => {
-    const forMs = 1000 + fleet.below(4000)
+    const durationMs = 1000 + fleet.randomBelow(4000)
     fleet.storeFaults.down = true
-    fleet.time.after(forMs, () => {
+    fleet.time.after(durationMs, () => {
       fleet.storeFaults.down = false
     })
-    return `store down ${forMs}`
+    return `store down ${durationMs}`
   },
   (fleet) => {
     const name = pickInstance(fleet)
-    fleet.storeFaults.deaf.add(name)
-    fleet.time.after(3000, () => fleet.storeFaults.deaf.delete(name))
+    fleet.storeFaults.unservedInstances.add(name)
+    fleet.time.after(3000, () => fleet.storeFaults.unservedInstances.delete(name))
     return `store refuses ${name}`
   },
   (fleet) => {
@@ -100,7 +100,7 @@
   (fleet) => {
     for (const a of fleet.processes.keys()) {
       for (const b of fleet.processes.keys()) {
-        if (a < b) fleet.time.after(fleet.below(2000), () => fleet.relink(a, b))
+        if (a < b) fleet.time.after(fleet.randomBelow(2000), () => fleet.replaceConnections(a, b))
       }
     }
     return 'connections replaced'
@@ -117,14 +117,14 @@
   },
   (fleet) => {
     const endpoint = pickEndpoint(fleet)
-    fleet.rebirth(endpoint.id)
+    fleet.restartEndpoint(endpoint.id)
     return `rebirth ${endpoint.id}`
   },
   (fleet) => {
     const endpoint = pickEndpoint(fleet)
     const kind = pick(fleet, ['slow', 'hangs', 'fails', 'refuses'] as const)
-    misbehave(endpoint, kind, true)
-    fleet.time.after(4000, () => misbehave(endpoint, kind, false))
+    setMisbehaviour(endpoint, kind, true)
+    fleet.time.after(4000, () => setMisbehaviour(endpoint, kind, false))
     return `${kind} ${endpoint.id}`
   },
   (fleet) => {
@@ -134,13 +134,13 @@
     return `drain ${endpoint.id}`
   },
   (fleet) => {
-    fleet.changeDesired()
+    fleet.changeDesiredState()
     return 'desired state'
   },
   (fleet) => {
     const domain = pick(fleet, DOMAINS)
     for (const process of fleet.processes.values()) {
-      if (process.domain === domain) fleet.kill(process.name, 300 + fleet.below(600))
+      if (process.domain === domain) fleet.kill(process.name, 300 + fleet.randomBelow(600))
     }
     return `kill all of ${domain}`
   }
@@ -150,32 +150,32 @@
  * Runs one scenario.
  * @param seed - chooses everything
  * @param faultyMs - how long faults go on
- * @param perSecond - jobs a second
+ * @param jobsPerSecond - jobs a second
  */
-export function runShardScenario (seed: number, faultyMs: number, perSecond: number): ScenarioResult {
+export function runShardScenario (seed: number, faultyMs: number, jobsPerSecond: number): ScenarioResult {
   const fleet = new ShardFleet({ domains: DOMAINS, instancesPerDomain: 3, endpointsPerDomain: 5, seed })
   const faults: string[] = []
   fleet.run(WARM_UP_MS)
-  const endAt = fleet.time.now + faultyMs + QUIET_END_MS
+  const submitUntil = fleet.time.now + faultyMs + FAULT_FREE_MS
   const submitNext = (): void => {
-    if (fleet.time.now > endAt) return
+    if (fleet.time.now > submitUntil) return
     submitJob(fleet)
-    fleet.time.after(fleet.below(2000 / perSecond), submitNext)
+    fleet.time.after(fleet.randomBelow(2000 / jobsPerSecond), submitNext)
   }
   submitNext()
   const faultsUntil = fleet.time.now + faultyMs
-  const faultNext = (): void => {
+  const injectNextFault = (): void => {
     if (fleet.time.now > faultsUntil) return
     faults.push(`${Math.round(fleet.time.now)} ${pick(fleet, FAULTS)(fleet)}`)
-    fleet.time.after(fleet.below(FAULT_PAUSE_MS * 2), faultNext)
+    fleet.time.after(fleet.randomBelow(MEAN_FAULT_INTERVAL_MS * 2), injectNextFault)
   }
-  faultNext()
-  fleet.run(faultyMs + QUIET_END_MS)
-  fleet.run(QUIET_END_MS)
-  return report(seed, fleet, faults, endAt - 2500)
+  injectNextFault()
+  fleet.run(faultyMs + FAULT_FREE_MS)
+  fleet.run(FAULT_FREE_MS)
+  return summarize(seed, fleet, faults, submitUntil - 2500)
 }
 
-function report (seed: number, fleet: ShardFleet, faults: readonly string[], calmFrom: number): ScenarioResult {
+function summarize (seed: number, fleet: ShardFleet, faults: readonly string[], calmFrom: number): ScenarioResult {
   const calm = fleet.jobs.filter(job => job.sentAt >= calmFrom)
   const count = (reply: string | undefined): number => fleet.jobs.filter(job => job.reply === reply).length
   return {
@@ -192,20 +192,20 @@
 
 function submitJob (fleet: ShardFleet): void {
   const kind = pick(fleet, [{ tasks: 8, workMs: 60 }, { tasks: 4, workMs: 900 }, { tasks: 2, workMs: 200 }, { tasks: 2, workMs: 200 }, { tasks: 2, workMs: 200 }] as const)
-  const spec = { cpuMilli: 8000 + fleet.below(12_000), workMs: Math.round(kind.workMs * (0.6 + fleet.below(80) / 100)), fails: fleet.below(500) === 0 }
+  const spec = { cpuMilli: 8000 + fleet.randomBelow(12_000), workMs: Math.round(kind.workMs * (0.6 + fleet.randomBelow(80) / 100)), fails: fleet.randomBelow(500) === 0 }
   fleet.submit(pickInstance(fleet), kind.tasks, spec)
 }
 
-function misbehave (endpoint: FencedEndpointModel, kind: 'slow' | 'hangs' | 'fails' | 'refuses', on: boolean): void {
+function setMisbehaviour (endpoint: FencedEndpointModel, kind: 'slow' | 'hangs' | 'fails' | 'refuses', on: boolean): void {
   switch (kind) {
     case 'slow':
-      endpoint.faults.slowness = on ? 6 : 1
+      endpoint.faults.slowdownFactor = on ? 6 : 1
       return
     case 'hangs':
       endpoint.faults.hangs = on
       return
     case 'fails':
-      endpoint.faults.failsAll = on
+      endpoint.faults.failsEveryTask = on
       return
     case 'refuses':
       endpoint.faults.refusesStarts = on
@@ -213,7 +213,7 @@
 }
 
 function pick<T> (fleet: ShardFleet, items: readonly T[]): T {
-  return items[fleet.below(items.length)] as T
+  return items[fleet.randomBelow(items.length)] as T
 }
 
 function pickInstance (fleet: ShardFleet): InstanceId {
--- a/packages/bench/src/shard/takeover.spec.ts
+++ b/packages/bench/src/shard/takeover.spec.ts
@@ -3,49 +3,49 @@
 import { ShardFleet } from './shardFleet.js'
 
 /** Targets from the loss of an owner to new starts at its endpoints. */
-const KILLED_TARGET_MS = 500
-const SILENT_TARGET_MS = 1500
+const KILLED_TAKEOVER_TARGET_MS = 500
+const SILENT_TAKEOVER_TARGET_MS = 1500
 const WORK_MS = 10
 const JOB_PERIOD_MS = 20
 const OWNER = 'a-1' as InstanceId
-const FRONT = 'a-0' as InstanceId
-const FOREVER_MS = 60_000
+const SUBMISSION_INSTANCE = 'a-0' as InstanceId
+const BEYOND_TEST_MS = 60_000
 
-type Loss = (fleet: ShardFleet) => void
+type CauseOwnerLoss = (fleet: ShardFleet) => void
 
 /** Loses the owner of a fleet of one domain under steady short jobs. @returns time until the first job that came after the loss is done */
-function msUntilServed (seed: number, storeDown: boolean, lose: Loss): number {
+function measureTakeoverMs (seed: number, storeDown: boolean, causeOwnerLoss: CauseOwnerLoss): number {
   const fleet = new ShardFleet({ domains: ['a'], instancesPerDomain: 3, endpointsPerDomain: 5, seed })
   // The instance with the most processor time has the shard by then, and the record names its successors.
   fleet.run(8000)
   fleet.storeFaults.down = storeDown
   fleet.run(300)
   const lostAt = fleet.time.now
-  lose(fleet)
-  for (let at = 1; at < SILENT_TARGET_MS * 2; at += JOB_PERIOD_MS) {
-    fleet.time.after(at, () => fleet.submit(FRONT, 1, { cpuMilli: 8000, workMs: WORK_MS, fails: false }))
+  causeOwnerLoss(fleet)
+  for (let at = 1; at < SILENT_TAKEOVER_TARGET_MS * 2; at += JOB_PERIOD_MS) {
+    fleet.time.after(at, () => fleet.submit(SUBMISSION_INSTANCE, 1, { cpuMilli: 8000, workMs: WORK_MS, fails: false }))
   }
-  fleet.run(SILENT_TARGET_MS * 2)
+  fleet.run(SILENT_TAKEOVER_TARGET_MS * 2)
   expect(fleet.oracle.violations).to.deep.equal([])
   const done = fleet.jobs.filter(job => job.reply === 'completed' && job.sentAt > lostAt)
-  return Math.min(...done.map(job => job.sentAt + (job.tookMs ?? Infinity) - lostAt))
+  return Math.min(...done.map(job => job.sentAt + (job.latencyMs ?? Infinity) - lostAt))
 }
 
 /** Kills all instances at once under steady jobs. @returns share of the jobs that are completed, by second after the return */
-function sharesAfterReturn (seed: number): number[] {
+function completedSharesAfterRestart (seed: number): number[] {
   const downMs = 1000
   const seconds = 7
   const fleet = new ShardFleet({ domains: ['a', 'b'], instancesPerDomain: 3, endpointsPerDomain: 5, seed })
   fleet.run(8000)
-  const backAt = fleet.time.now + downMs
+  const restartedAt = fleet.time.now + downMs
   for (const name of fleet.processes.keys()) fleet.kill(name, downMs)
   for (let at = 0; at < downMs + seconds * 1000; at += JOB_PERIOD_MS * 5) {
-    fleet.time.after(at, () => fleet.submit(FRONT, 2, { cpuMilli: 8000, workMs: 200, fails: false }))
+    fleet.time.after(at, () => fleet.submit(SUBMISSION_INSTANCE, 2, { cpuMilli: 8000, workMs: 200, fails: false }))
   }
   fleet.run(downMs + seconds * 1000 + 2000)
   expect(fleet.oracle.violations).to.deep.equal([])
   return Array.from({ length: seconds }, (_, second) => {
-    const sent = fleet.jobs.filter(job => job.sentAt >= backAt + second * 1000 && job.sentAt < backAt + (second + 1) * 1000)
+    const sent = fleet.jobs.filter(job => job.sentAt >= restartedAt + second * 1000 && job.sentAt < restartedAt + (second + 1) * 1000)
     return sent.filter(job => job.reply === 'completed').length / Math.max(1, sent.length)
   })
 }
@@ -53,7 +53,7 @@
 describe('the loss of all instances', () => {
   it('leaves a quarter of normal service 3 s after their return, and nine tenths 5 s after it', () => {
     for (const seed of [1, 2, 3, 4]) {
-      const shares = sharesAfterReturn(seed)
+      const shares = completedSharesAfterRestart(seed)
       expect(Math.min(...shares.slice(3)), `seed ${seed}: ${shares.join()}`).to.be.at.least(0.25)
       expect(Math.min(...shares.slice(5)), `seed ${seed}: ${shares.join()}`).to.be.at.least(0.9)
     }
@@ -64,14 +64,14 @@
   for (const storeDown of [false, true]) {
     const store = storeDown ? 'while the store is down' : 'while the store answers'
 
-    it(`costs at most ${KILLED_TARGET_MS} ms when it is killed, ${store}`, () => {
-      const spans = [1, 2, 3, 4].map(seed => msUntilServed(seed, storeDown, fleet => fleet.kill(OWNER, FOREVER_MS)))
-      expect(Math.max(...spans)).to.be.at.most(KILLED_TARGET_MS)
+    it(`costs at most ${KILLED_TAKEOVER_TARGET_MS} ms when it is killed, ${store}`, () => {
+      const takeoverTimesMs = [1, 2, 3, 4].map(seed => measureTakeoverMs(seed, storeDown, fleet => fleet.kill(OWNER, BEYOND_TEST_MS)))
+      expect(Math.max(...takeoverTimesMs)).to.be.at.most(KILLED_TAKEOVER_TARGET_MS)
     })
 
-    it(`costs at most ${SILENT_TARGET_MS} ms when it falls silent, ${store}`, () => {
-      const spans = [1, 2, 3, 4].map(seed => msUntilServed(seed, storeDown, fleet => fleet.freeze(OWNER, FOREVER_MS)))
-      expect(Math.max(...spans)).to.be.at.most(SILENT_TARGET_MS)
+    it(`costs at most ${SILENT_TAKEOVER_TARGET_MS} ms when it falls silent, ${store}`, () => {
+      const takeoverTimesMs = [1, 2, 3, 4].map(seed => measureTakeoverMs(seed, storeDown, fleet => fleet.freeze(OWNER, BEYOND_TEST_MS)))
+      expect(Math.max(...takeoverTimesMs)).to.be.at.most(SILENT_TAKEOVER_TARGET_MS)
     })
   }
 })
@@ -80,19 +80,19 @@
   it('does not start again what runs at an endpoint that it does not know', () => {
     const violations = [1, 2, 3, 4].flatMap((seed) => {
       const fleet = new ShardFleet({ domains: ['a'], instancesPerDomain: 5, endpointsPerDomain: 5, seed })
-      const newcomer = 'e-a-4'
+      const newEndpoint = 'e-a-4'
       const submit = (at: number, workMs: number): void => fleet.time.after(at, () => fleet.submit('a-4' as InstanceId, 2, { cpuMilli: 16_000, workMs, fails: false }))
-      fleet.lapsedEntries.add(newcomer)
+      fleet.lapsedEntries.add(newEndpoint)
       // By then the owner and its first successors are settled, and the others have read the list for a while.
       fleet.run(14_000)
-      fleet.lapsedEntries.delete(newcomer)
+      fleet.lapsedEntries.delete(newEndpoint)
       fleet.run(2000)
       fleet.storeFaults.down = true
       // Short tasks fill the endpoints that all know, so that long ones go to the newcomer.
       for (let i = 0; i < 6; i++) submit(0, 300)
       for (let i = 0; i < 3; i++) submit(50, 1500)
       fleet.time.after(600, () => {
-        for (const name of ['a-0', 'a-1', 'a-2', 'a-3']) fleet.kill(name as InstanceId, FOREVER_MS)
+        for (const name of ['a-0', 'a-1', 'a-2', 'a-3']) fleet.kill(name as InstanceId, BEYOND_TEST_MS)
       })
       fleet.run(5000)
       return fleet.oracle.violations
--- a/packages/fakes/src/endpointFake.ts
+++ b/packages/fakes/src/endpointFake.ts
@@ -1,5 +1,6 @@
 /**
- * An endpoint stand-in: EndpointModel behind the published HTTP interface.
+ * A stand-in for an endpoint that serves EndpointModel over the HTTP interface of docs/ENDPOINT.md. It adds sockets and
+ * timers, which the model leaves out so that in-memory tests can run it on virtual time. Tests inject faults through `/fake/`.
  */
 import type { StartRequest, StartOutcome, TaskListRequest } from '@cranberryyard/protocol'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -8,7 +9,7 @@
 import { listenHttp, sendJson } from './httpServer.js'
 import type { Listening } from './httpServer.js'
 
-/** Usage reports lag by this much. */
+/** Age of the sample that `GET /v1/usage` reports, since the usage reports of a real endpoint lag behind. */
 const USAGE_LAG_MS = 2000
 
 interface UsageSample {
@@ -16,29 +17,29 @@
   readonly running: number
 }
 
-/** An endpoint on a port. */
+/** An endpoint that listens on a loopback port. */
 export class EndpointFake {
   readonly model: EndpointModel
   private server: Listening | undefined
-  private timer: NodeJS.Timeout | undefined
-  private timerAt = Infinity
+  private wakeTimer: NodeJS.Timeout | undefined
+  private wakeTimerDueAt = Infinity
   private readonly usage: UsageSample[] = []
 
   constructor (size: EndpointSize, keepsLog = true) {
     this.model = new EndpointModel(size, keepsLog)
   }
 
-  /** Starts to listen. @returns the port */
+  /** @returns the port on which the endpoint listens */
   async listen (port = 0): Promise<number> {
     this.server = await listenHttp(port, (req, res, body) => this.handle(req, res, body))
     return this.server.port
   }
 
-  /** Stops at once, as a dying endpoint does. */
+  /** Closes all connections without a reply and ends no task, as a crash of the endpoint does. */
   async close (): Promise<void> {
-    clearTimeout(this.timer)
-    this.timer = undefined
-    this.timerAt = Infinity
+    clearTimeout(this.wakeTimer)
+    this.wakeTimer = undefined
+    this.wakeTimerDueAt = Infinity
     await this.server?.close()
   }
 
@@ -57,53 +58,53 @@
         this.model.misbehaviour = (JSON.parse(body) as { as: Misbehaviour }).as
         return sendJson(res, 200, {})
       case 'GET /v1/health': return sendJson(res, this.model.misbehaviour === 'refuses' ? 503 : 200, {})
-      case 'GET /v1/usage': return sendJson(res, 200, this.laggingUsage())
+      case 'GET /v1/usage': return sendJson(res, 200, this.delayedUsage())
       case 'GET /fake/log': return sendJson(res, 200, this.model.log)
       default: return sendJson(res, 404, {})
     }
   }
 
   private start (request: StartRequest, res: ServerResponse): void {
-    this.model.start(request, performance.now(), Date.now(), outcome => reply(res, outcome))
+    this.model.start(request, performance.now(), Date.now(), outcome => sendOutcome(res, outcome))
     this.usage.push({ at: Date.now(), running: this.model.runningCount })
     if (this.usage.length > 1000) this.usage.splice(0, 500)
-    this.arm()
+    this.armWakeTimer()
   }
 
   private renew (request: TaskListRequest, res: ServerResponse): void {
     const found = this.model.renew(request.tasks, performance.now(), Date.now(), request.notAfter)
     sendJson(res, 200, { renewed: found })
-    this.arm()
+    this.armWakeTimer()
   }
 
   private stop (request: TaskListRequest, res: ServerResponse): void {
     this.model.stop(request.tasks, performance.now())
     sendJson(res, 200, {})
-    this.arm()
+    this.armWakeTimer()
   }
 
-  private laggingUsage (): UsageSample {
+  private delayedUsage (): UsageSample {
     const until = Date.now() - USAGE_LAG_MS
     return this.usage.filter(u => u.at <= until).at(-1) ?? { at: until, running: 0 }
   }
 
-  /** Wakes up for the next end of a task or lease. */
-  private arm (): void {
+  /** Sets the timer for the next end of a task or expiry of a lease. */
+  private armWakeTimer (): void {
     const next = this.model.nextEventAt()
-    if (next === undefined || next >= this.timerAt) return
-    clearTimeout(this.timer)
-    this.timerAt = next
-    this.timer = setTimeout(() => this.wake(), Math.min(0x7fffffff, Math.max(0, next - performance.now())))
+    if (next === undefined || next >= this.wakeTimerDueAt) return
+    clearTimeout(this.wakeTimer)
+    this.wakeTimerDueAt = next
+    this.wakeTimer = setTimeout(() => this.advanceModel(), Math.min(0x7fffffff, Math.max(0, next - performance.now())))
   }
 
-  private wake (): void {
-    this.timerAt = Infinity
+  private advanceModel (): void {
+    this.wakeTimerDueAt = Infinity
     this.model.advance(performance.now() + 0.5)
-    this.arm()
+    this.armWakeTimer()
   }
 }
 
-function reply (res: ServerResponse, outcome: StartOutcome): void {
+function sendOutcome (res: ServerResponse, outcome: StartOutcome): void {
   switch (outcome.type) {
     case 'done': return sendJson(res, 200, { result: outcome.result, runMs: outcome.runMs })
     case 'failed': return sendJson(res, 500, { message: outcome.message, runMs: outcome.runMs })
--- a/packages/fakes/src/endpointModel.spec.ts
+++ b/packages/fakes/src/endpointModel.spec.ts
@@ -14,20 +14,20 @@
   return { model, outcomes }
 }
 
-describe('the endpoint stand-in', () => {
-  it('ends a task when its lease ran out, however late it is woken', () => {
+describe('the endpoint model', () => {
+  it('records the expiry of a lease as the end of a task, even if it is advanced later', () => {
     const { model, outcomes } = startedModel(2000)
     model.advance(LEASE_MS + 300)
     expect([model.log[0]?.endedAt, ...outcomes]).to.deep.equal([LEASE_MS, 'stopped'])
   })
 
-  it('does not renew a lease that has run out before it was woken', () => {
+  it('does not renew a lease that expired before the model was advanced', () => {
     const { model, outcomes } = startedModel(2000)
     expect(model.renew([TASK], LEASE_MS + 1, 0, NEVER)).to.deep.equal([])
     expect([model.log[0]?.endedAt, ...outcomes]).to.deep.equal([LEASE_MS, 'stopped'])
   })
 
-  it('gives a task that was done in time its result, however late it is woken', () => {
+  it('returns the result of a task that finished before a stop, even if it is advanced only by the stop', () => {
     const { model, outcomes } = startedModel(100)
     model.stop([TASK], 200)
     expect([model.log[0]?.endedAt, ...outcomes]).to.deep.equal([100, 'done'])
--- a/packages/fakes/src/endpointModel.ts
+++ b/packages/fakes/src/endpointModel.ts
@@ -1,13 +1,14 @@
 /**
- * An endpoint reduced to its published behaviour (docs/ENDPOINT.md): slots, sizes, task leases, stops, and
- * misbehaviour on demand. Time is given from outside; in-memory tests and the HTTP stand-in share it.
+ * Models the published behaviour of an endpoint (docs/ENDPOINT.md): slots, capacity, task leases and stop requests. Tests can
+ * also switch on misbehaviour. The caller passes the time into each method, so in-memory tests on virtual time and the HTTP
+ * stand-in share this model.
  */
 import type { RefusalReason, StartOutcome, StartRequest, TaskId } from '@cranberryyard/protocol'
 
-/** How an endpoint misbehaves. */
+/** Kinds of misbehaviour that a test can switch on. */
 export type Misbehaviour = 'none' | 'failsEveryTask' | 'straggler' | 'hangs' | 'refuses'
 
-/** A start as the endpoint saw it; the proof of what ran. */
+/** A start that the endpoint accepted. Tests use the log as evidence of what ran. */
 export interface StartLogEntry {
   readonly taskId: TaskId
   readonly holder: string
@@ -16,7 +17,7 @@
   endedAt: number | undefined
 }
 
-/** Size of an endpoint. */
+/** Capacity of an endpoint. */
 export interface EndpointSize {
   readonly slots: number
   readonly cores: number
@@ -24,112 +25,114 @@
   readonly accelerators: number
 }
 
-/** What a stand-in task does: runs for a while, then gives its result or fails. */
+/** Payload of a stand-in task: it runs for `runMs`, then returns its result or fails. */
 export interface TaskPayload {
   readonly runMs: number
   readonly fail?: boolean
   readonly value?: unknown
 }
 
-interface RunningEntry {
+interface RunningTask {
   readonly request: StartRequest
   readonly log: StartLogEntry
   readonly finish: (outcome: StartOutcome) => void
   endsAt: number
-  leaseUntil: number
+  leaseExpiresAt: number
 }
 
-/** Factor by which a straggler is slower. */
+/** Factor by which a straggler takes longer for a task. */
 const STRAGGLER_FACTOR = 8
-/** Finished task ids remembered, to refuse a repeated start. */
-const KNOWN_TASKS_MAX = 200_000
+/** Number of started task ids that the endpoint remembers in order to refuse a repeated start. */
+const STARTED_IDS_MAX = 200_000
 
-/** One endpoint. */
+/** The model of one endpoint. */
 export class EndpointModel {
   readonly log: StartLogEntry[] = []
   misbehaviour: Misbehaviour = 'none'
   throttle = 1
   leaving = false
   checkpoints = 0
-  private readonly running = new Map<TaskId, RunningEntry>()
-  private readonly known = new Set<TaskId>()
+  private readonly running = new Map<TaskId, RunningTask>()
+  private readonly startedIds = new Set<TaskId>()
 
   constructor (readonly size: EndpointSize, private readonly keepsLog = true) {}
 
   /**
-   * Starts a task or refuses it. The outcome is given once, at once for a refusal.
-   * @param request - the start
-   * @param now - monotonic time
-   * @param wall - wall-clock time
-   * @param finish - receives the outcome
+   * Starts a task or refuses it.
+   * @param request - the start request
+   * @param now - monotonic time in milliseconds
+   * @param wall - wall-clock time in milliseconds
+   * @param finish - called once with the outcome, before this method returns in case of a refusal
    */
   start (request: StartRequest, now: number, wall: number, finish: (outcome: StartOutcome) => void): void {
     this.advance(now)
-    const reason = this.refusal(request, wall)
+    const reason = this.refusalReason(request, wall)
     if (reason !== undefined) {
       finish({ type: 'refused', reason })
       return
     }
-    this.remember(request.taskId)
+    this.rememberStartedId(request.taskId)
     const log: StartLogEntry = { taskId: request.taskId, holder: request.holder, payload: request.payload, startedAt: now, endedAt: undefined }
     if (this.keepsLog) this.log.push(log)
-    this.running.set(request.taskId, { request, log, finish, endsAt: now + this.runMs(request), leaseUntil: now + request.leaseMs })
+    this.running.set(request.taskId, { request, log, finish, endsAt: now + this.effectiveRunMs(request), leaseExpiresAt: now + request.leaseMs })
   }
 
-  /** @returns when something happens next, or undefined when nothing runs */
+  /** @returns monotonic time of the next task end or lease expiry; undefined when no task runs */
   nextEventAt (): number | undefined {
     let next: number | undefined
-    for (const r of this.running.values()) {
-      const at = Math.min(r.endsAt, r.leaseUntil)
+    for (const task of this.running.values()) {
+      const at = Math.min(task.endsAt, task.leaseExpiresAt)
       if (next === undefined || at < next) next = at
     }
     return next
   }
 
-  /** Ends tasks that are done and tasks whose lease has run out, at the time when that was, however late this is called. */
+  /**
+   * Ends tasks that have finished or whose lease has expired. Each end is recorded with the time at which it was due, even if
+   * this method is called later.
+   */
   advance (now: number): void {
-    for (const [id, r] of this.running) {
-      if (now >= r.leaseUntil && r.leaseUntil <= r.endsAt) this.end(id, r, r.leaseUntil, { type: 'stopped' })
-      else if (now >= r.endsAt) this.end(id, r, r.endsAt, outcomeOf(r, r.endsAt, this.misbehaviour))
+    for (const [id, task] of this.running) {
+      if (now >= task.leaseExpiresAt && task.leaseExpiresAt <= task.endsAt) this.endTask(id, task, task.leaseExpiresAt, { type: 'stopped' })
+      else if (now >= task.endsAt) this.endTask(id, task, task.endsAt, outcomeOf(task, task.endsAt, this.misbehaviour))
     }
   }
 
-  /** Extends leases. @returns the tasks that still run here */
+  /** Renews the leases of tasks, unless the request is past `notAfter`. @returns the tasks whose lease was renewed */
   renew (tasks: readonly TaskId[], now: number, wall: number, notAfter: number): TaskId[] {
     this.advance(now)
     if (wall > notAfter) return []
     const found = tasks.filter(id => this.running.has(id))
     for (const id of found) {
-      const r = this.running.get(id)
-      if (r !== undefined) r.leaseUntil = now + r.request.leaseMs
+      const task = this.running.get(id)
+      if (task !== undefined) task.leaseExpiresAt = now + task.request.leaseMs
     }
     return found
   }
 
-  /** Ends tasks on request. */
+  /** Stops running tasks; ignores ids of tasks that do not run here. */
   stop (tasks: readonly TaskId[], now: number): void {
     this.advance(now)
     for (const id of tasks) {
-      const r = this.running.get(id)
-      if (r !== undefined) this.end(id, r, now, { type: 'stopped' })
+      const task = this.running.get(id)
+      if (task !== undefined) this.endTask(id, task, now, { type: 'stopped' })
     }
   }
 
-  /** @returns number of tasks that run */
   get runningCount (): number {
     return this.running.size
   }
 
-  private refusal (request: StartRequest, wall: number): RefusalReason | undefined {
+  private refusalReason (request: StartRequest, wall: number): RefusalReason | undefined {
     if (this.leaving) return 'leaving'
     if (wall > request.notAfter) return 'expired'
-    if (this.known.has(request.taskId)) return 'known'
+    if (this.startedIds.has(request.taskId)) return 'known'
     if (this.misbehaviour === 'refuses' || this.running.size >= this.size.slots) return 'busy'
     const tooLarge = request.cores > this.size.cores || request.memoryMb > this.size.memoryMb || request.accelerators > this.size.accelerators
     return tooLarge ? 'tooLarge' : undefined
   }
 
-  private runMs (request: StartRequest): number {
+  private effectiveRunMs (request: StartRequest): number {
     const { runMs } = request.payload as TaskPayload
     switch (this.misbehaviour) {
       case 'failsEveryTask': return 2
@@ -140,23 +143,23 @@
     }
   }
 
-  private remember (id: TaskId): void {
-    this.known.add(id)
-    if (this.known.size <= KNOWN_TASKS_MAX) return
-    const [oldest] = this.known
-    if (oldest !== undefined) this.known.delete(oldest)
+  private rememberStartedId (id: TaskId): void {
+    this.startedIds.add(id)
+    if (this.startedIds.size <= STARTED_IDS_MAX) return
+    const [oldest] = this.startedIds
+    if (oldest !== undefined) this.startedIds.delete(oldest)
   }
 
-  private end (id: TaskId, r: RunningEntry, now: number, outcome: StartOutcome): void {
+  private endTask (id: TaskId, task: RunningTask, now: number, outcome: StartOutcome): void {
     this.running.delete(id)
-    r.log.endedAt = now
-    r.finish(outcome)
+    task.log.endedAt = now
+    task.finish(outcome)
   }
 }
 
-function outcomeOf (r: RunningEntry, now: number, misbehaviour: Misbehaviour): StartOutcome {
-  const { fail, value } = r.request.payload as TaskPayload
-  const runMs = now - r.log.startedAt
+function outcomeOf (task: RunningTask, now: number, misbehaviour: Misbehaviour): StartOutcome {
+  const { fail, value } = task.request.payload as TaskPayload
+  const runMs = now - task.log.startedAt
   if (fail === true || misbehaviour === 'failsEveryTask') return { type: 'failed', message: 'the task reported an error', runMs }
-  return { type: 'done', result: value ?? r.request.taskId, runMs }
+  return { type: 'done', result: value ?? task.request.taskId, runMs }
 }
--- a/packages/fakes/src/faultProxy.ts
+++ b/packages/fakes/src/faultProxy.ts
@@ -1,35 +1,35 @@
 /**
- * A TCP proxy that injects faults on one link: delay, cuts in one direction or both, resets.
- * A cut drops bytes silently and keeps connections open, as a partition does.
+ * A TCP proxy that injects faults on one link: delay, cuts of one or both directions, and connection resets.
+ * A cut drops bytes silently and keeps connections open, as a network partition does.
  */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 
-/** Faults of a link; they apply to bytes that arrive from now on. */
+/** Faults of a link. A change applies to bytes that arrive at the proxy after it. */
 export interface LinkFaults {
   delayMs: number
-  /** Bytes from the connecting side are dropped. */
+  /** Drops bytes from the connecting side to the target. */
   cutForward: boolean
-  /** Bytes towards the connecting side are dropped. */
+  /** Drops bytes from the target to the connecting side. */
   cutBackward: boolean
 }
 
-interface Pair {
+interface ProxiedConnection {
   readonly client: Socket
   readonly upstream: Socket
 }
 
-/** A proxied link on a port. */
+/** A proxy for one link, on a loopback port. */
 export class FaultProxy {
   readonly faults: LinkFaults = { delayMs: 0, cutForward: false, cutBackward: false }
-  /** Bytes passed on in both directions. */
+  /** Number of bytes forwarded in both directions together. */
   bytes = 0
-  private readonly pairs = new Set<Pair>()
+  private readonly connections = new Set<ProxiedConnection>()
   private server: Server | undefined
 
   constructor (private readonly targetPort: number) {}
 
-  /** Starts to listen on loopback. @returns the port */
+  /** Listens on loopback; port 0 picks a free port. @returns the port */
   async listen (port = 0): Promise<number> {
     const server = createServer(client => this.accept(client))
     this.server = server
@@ -41,29 +41,28 @@
     return typeof address === 'object' && address !== null ? address.port : port
   }
 
-  /** Cuts both directions. */
+  /** Drops all bytes in both directions until `heal` is called. */
   cut (): void {
     this.faults.cutForward = true
     this.faults.cutBackward = true
   }
 
-  /** Ends cuts. Bytes of old connections were lost, so these are reset. */
+  /** Ends cuts and resets all connections, because the byte streams of those that were open during the cut have gaps. */
   heal (): void {
     this.faults.cutForward = false
     this.faults.cutBackward = false
     this.reset()
   }
 
-  /** Resets every connection. */
   reset (): void {
-    for (const { client, upstream } of this.pairs) {
+    for (const { client, upstream } of this.connections) {
       client.resetAndDestroy()
       upstream.resetAndDestroy()
     }
-    this.pairs.clear()
+    this.connections.clear()
   }
 
-  /** Stops. */
+  /** Resets all connections and stops listening. */
   async close (): Promise<void> {
     this.reset()
     await new Promise<void>(resolve => this.server === undefined ? resolve() : this.server.close(() => resolve()))
@@ -71,14 +70,14 @@
 
   private accept (client: Socket): void {
     const upstream = connect(this.targetPort, '127.0.0.1')
-    const pair = { client, upstream }
-    this.pairs.add(pair)
+    const connection = { client, upstream }
+    this.connections.add(connection)
     this.pipe(client, upstream, () => this.faults.cutForward)
     this.pipe(upstream, client, () => this.faults.cutBackward)
     for (const socket of [client, upstream]) {
       socket.setNoDelay(true)
       socket.on('error', () => {})
-      socket.on('close', () => this.closed(pair))
+      socket.on('close', () => this.onSocketClosed(connection))
     }
   }
 
@@ -91,11 +90,11 @@
     })
   }
 
-  /** The end of a connection is not passed on through a cut. */
-  private closed (pair: Pair): void {
+  /** Closes the other side of the connection too, except during a cut: a partition hides the end of a connection. */
+  private onSocketClosed (connection: ProxiedConnection): void {
     if (this.faults.cutForward || this.faults.cutBackward) return
-    pair.client.destroy()
-    pair.upstream.destroy()
-    this.pairs.delete(pair)
+    connection.client.destroy()
+    connection.upstream.destroy()
+    this.connections.delete(connection)
   }
 }
--- a/packages/fakes/src/fencedEndpointModel.ts
+++ b/packages/fakes/src/fencedEndpointModel.ts
@@ -1,22 +1,23 @@
 /**
- * An endpoint that takes orders under fencing tokens, reduced to its published behaviour: it refuses lower tokens,
- * keeps one lease for all that runs, lists runs and ends, and starts anew without any memory. Time comes from outside.
- * It does not guard its capacity, so that tests see every order that exceeds it.
+ * Models the published behaviour of an endpoint that is controlled under fencing tokens. It refuses orders with a token lower
+ * than the highest it has seen, keeps one lease for all its runs, and lists running and ended runs. After a restart it has no
+ * memory of earlier runs and tokens. The caller passes the time into each method. The model does not enforce its capacity,
+ * so that tests see every order that exceeds it.
  */
 
-/** Longest lease it grants. */
+/** Longest lease that the endpoint grants, counted from the order that extends it. */
 const LEASE_MAX_MS = 1000
-/** Time from a stop to the end of the run. */
-const STOP_MS = 30
+/** Time from a stop order to the end of the run. */
+const STOP_DELAY_MS = 30
 
-/** What a task asks for and how it behaves; tests write it into the task's text. */
+/** Resources that a task needs and how it behaves. Tests pass it, as JSON, in the task's spec. */
 export interface ModelTask {
   readonly cpuMilli: number
   readonly workMs: number
   readonly fails: boolean
 }
 
-/** A run at the endpoint. */
+/** A run of a task at the endpoint; `run` is its number, which rises with each new attempt. */
 export interface ModelRun {
   readonly task: string
   readonly run: number
@@ -26,7 +27,7 @@
   stopAt: number | undefined
 }
 
-/** An end that the endpoint lists. */
+/** The end of a run. The endpoint lists it until a hold acknowledges its sequence number. */
 export interface ModelEnd {
   readonly sequence: number
   readonly task: string
@@ -34,7 +35,7 @@
   readonly how: 'done' | 'failed' | 'stopped' | 'lapsed'
 }
 
-/** An order to start. */
+/** An order to start a run, valid until `untilMs` on the endpoint's clock, up to which it also extends the lease. */
 export interface ModelStart {
   readonly token: number
   readonly task: string
@@ -45,128 +46,131 @@
 
 export type ModelStartReply = 'started' | 'fenced' | 'oldRun' | 'late' | 'unhealthy'
 
-/** How the endpoint misbehaves. */
+/** Misbehaviour that a test can switch on. */
 export interface ModelFaults {
-  /** Factor on the work of tasks that start from now on. */
-  slowness: number
-  failsAll: boolean
-  /** Tasks make no progress. */
+  /** Factor on the run time of tasks that start after the change. */
+  slowdownFactor: number
+  failsEveryTask: boolean
+  /** Tasks that start while this is set make no progress. */
   hangs: boolean
   refusesStarts: boolean
 }
 
-/** One endpoint. */
+/** The model of one endpoint. */
 export class FencedEndpointModel {
   readonly runs = new Map<string, ModelRun>()
-  readonly faults: ModelFaults = { slowness: 1, failsAll: false, hangs: false, refusesStarts: false }
-  private ends: ModelEnd[] = []
+  readonly faults: ModelFaults = { slowdownFactor: 1, failsEveryTask: false, hangs: false, refusesStarts: false }
+  private unacknowledgedEnds: ModelEnd[] = []
   private readonly highestRun = new Map<string, number>()
   private sequence = 0
-  private token = 0
-  private leaseUntil = 0
-  private waiters: (() => void)[] = []
+  private highestToken = 0
+  private leaseUntilClockMs = 0
+  private endListeners: (() => void)[] = []
   up = true
 
   /**
-   * @param id - the endpoint's id, kept when it is born again
-   * @param cpuMilli - capacity
-   * @param bornAt - start of this life
-   * @param onEnd - told of each end
+   * @param id - the endpoint's id, kept across restarts
+   * @param cpuMilli - capacity in thousandths of a core
+   * @param bornAt - time of the latest start of the endpoint
+   * @param onEnd - called with each end of a run
    */
   constructor (readonly id: string, readonly cpuMilli: number, public bornAt: number, private readonly onEnd: (run: ModelRun, how: ModelEnd['how'], at: number) => void = () => {}) {}
 
-  /** @returns the endpoint's clock */
+  /** @returns the endpoint's clock: milliseconds since its latest start */
   clock (now: number): number {
     return Math.floor(now - this.bornAt)
   }
 
-  /** Takes an order to start. */
+  /** Executes an order to start a run; a repeated order for the same run is answered `started` again. */
   start (now: number, order: ModelStart): ModelStartReply {
     this.advance(now)
-    if (order.token < this.token) return 'fenced'
-    this.token = order.token
+    if (order.token < this.highestToken) return 'fenced'
+    this.highestToken = order.token
     if (this.runs.get(order.task)?.run === order.run) return 'started'
     if (order.run <= (this.highestRun.get(order.task) ?? 0)) return 'oldRun'
     if (order.untilMs <= this.clock(now)) return 'late'
     if (this.faults.refusesStarts) return 'unhealthy'
-    this.extend(now, order.untilMs)
+    this.extendLease(now, order.untilMs)
     this.highestRun.set(order.task, order.run)
-    const endsAt = this.faults.hangs ? Infinity : now + order.spec.workMs * this.faults.slowness
+    const endsAt = this.faults.hangs ? Infinity : now + order.spec.workMs * this.faults.slowdownFactor
     this.runs.set(order.task, { task: order.task, run: order.run, spec: order.spec, startedAt: now, endsAt, stopAt: undefined })
     return 'started'
   }
 
-  /** Takes an order to stop; a run that has not arrived is refused later. */
+  /** Executes an order to stop a run. If the start order of the run arrives later, `start` refuses it as `oldRun`. */
   stop (now: number, token: number, task: string, run: number): 'stopping' | 'fenced' {
     this.advance(now)
-    if (token < this.token) return 'fenced'
-    this.token = token
+    if (token < this.highestToken) return 'fenced'
+    this.highestToken = token
     this.highestRun.set(task, Math.max(run, this.highestRun.get(task) ?? 0))
-    const known = this.runs.get(task)
-    if (known?.run === run) known.stopAt ??= now + STOP_MS
+    const running = this.runs.get(task)
+    if (running?.run === run) running.stopAt ??= now + STOP_DELAY_MS
     return 'stopping'
   }
 
-  /** Takes a hold or a look. @returns false when the token is too low */
-  hold (now: number, token: number, lastSeen: number, untilMs: number | undefined): boolean {
+  /**
+   * Extends the lease to `untilMs`, or leaves it as it is when that is undefined, and drops acknowledged ends.
+   * @returns false when the token is lower than the highest seen
+   */
+  hold (now: number, token: number, acknowledgedSequence: number, untilMs: number | undefined): boolean {
     this.advance(now)
-    if (token < this.token) return false
-    this.token = token
-    if (untilMs !== undefined) this.extend(now, untilMs)
-    this.ends = this.ends.filter(end => end.sequence > lastSeen)
+    if (token < this.highestToken) return false
+    this.highestToken = token
+    if (untilMs !== undefined) this.extendLease(now, untilMs)
+    this.unacknowledgedEnds = this.unacknowledgedEnds.filter(end => end.sequence > acknowledgedSequence)
     return true
   }
 
-  /** @returns what a hold is answered with */
+  /** @returns the content of the answer to a hold: clock, running runs and ends that are not acknowledged yet */
   listing (now: number): { readonly clock: number, readonly bornAt: number, readonly running: { task: string, run: number, percent: number }[], readonly ended: ModelEnd[] } {
     this.advance(now)
     const running = [...this.runs.values()].map(({ task, run, startedAt, endsAt }) => ({ task, run, percent: endsAt === Infinity ? 0 : Math.min(99, Math.floor(100 * (now - startedAt) / (endsAt - startedAt))) }))
-    return { clock: this.clock(now), bornAt: this.bornAt, running, ended: [...this.ends] }
+    return { clock: this.clock(now), bornAt: this.bornAt, running, ended: [...this.unacknowledgedEnds] }
   }
 
-  /** Calls back at the next end. */
+  /** Calls back once at the next end of a run, or at once when an unacknowledged end exists. */
   onNextEnd (callback: () => void): void {
-    if (this.ends.length > 0) callback()
-    else this.waiters.push(callback)
+    if (this.unacknowledgedEnds.length > 0) callback()
+    else this.endListeners.push(callback)
   }
 
-  /** @returns thousandths of a core in use, runs that are being stopped included */
+  /** @returns thousandths of a core in use, including runs that are being stopped */
   usedCpuMilli (): number {
     return [...this.runs.values()].reduce((sum, run) => sum + run.spec.cpuMilli, 0)
   }
 
-  /** Crashes and starts again under the same id: nothing of before is known. */
-  rebirth (now: number): void {
+  /** Crashes and restarts under the same id, without any earlier state. */
+  restart (now: number): void {
     this.runs.clear()
-    this.ends = []
+    this.unacknowledgedEnds = []
     this.highestRun.clear()
     this.sequence = 0
-    this.token = 0
-    this.leaseUntil = 0
-    this.waiters = []
+    this.highestToken = 0
+    this.leaseUntilClockMs = 0
+    this.endListeners = []
     this.bornAt = now
   }
 
-  /** Brings the endpoint up to a time: runs end, stop or lapse. */
+  /** Ends the runs that have finished, were stopped or lost their lease up to a time. */
   advance (now: number): void {
-    const lapseAt = this.bornAt + this.leaseUntil
+    const leaseEndsAt = this.bornAt + this.leaseUntilClockMs
     for (const run of [...this.runs.values()]) {
       const stopAt = run.stopAt ?? Infinity
-      const at = Math.min(run.endsAt, stopAt, lapseAt)
+      const at = Math.min(run.endsAt, stopAt, leaseEndsAt)
       if (at > now) continue
       this.runs.delete(run.task)
-      this.noteEnd(run, at === run.endsAt ? (run.spec.fails || this.faults.failsAll ? 'failed' : 'done') : at === stopAt ? 'stopped' : 'lapsed', at)
+      this.recordEnd(run, at === run.endsAt ? (run.spec.fails || this.faults.failsEveryTask ? 'failed' : 'done') : at === stopAt ? 'stopped' : 'lapsed', at)
     }
-    if (this.ends.length === 0) return
-    for (const waiter of this.waiters.splice(0)) waiter()
+    if (this.unacknowledgedEnds.length === 0) return
+    for (const listener of this.endListeners.splice(0)) listener()
   }
 
-  private noteEnd (run: ModelRun, how: ModelEnd['how'], at: number): void {
-    this.ends.push({ sequence: ++this.sequence, task: run.task, run: run.run, how })
+  private recordEnd (run: ModelRun, how: ModelEnd['how'], at: number): void {
+    this.unacknowledgedEnds.push({ sequence: ++this.sequence, task: run.task, run: run.run, how })
     this.onEnd(run, how, at)
   }
 
-  private extend (now: number, untilMs: number): void {
-    this.leaseUntil = Math.max(this.leaseUntil, Math.min(untilMs, this.clock(now) + LEASE_MAX_MS))
+  private extendLease (now: number, untilMs: number): void {
+    this.leaseUntilClockMs = Math.max(this.leaseUntilClockMs, Math.min(untilMs, this.clock(now) + LEASE_MAX_MS))
   }
 }
--- a/packages/fakes/src/httpServer.ts
+++ b/packages/fakes/src/httpServer.ts
@@ -1,13 +1,13 @@
 /**
- * The few lines of HTTP that the stand-ins share.
+ * The HTTP server that the stand-ins share: it listens on loopback, reads whole request bodies and sends JSON.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
-/** Answers one request. */
+/** Answers one request, whose body has been read completely. */
 export type Handler = (req: IncomingMessage, res: ServerResponse, body: string) => void
 
-/** A listening server. */
+/** A server that listens; `close` also closes its open connections. */
 export interface Listening {
   readonly port: number
   close (): Promise<void>
@@ -15,9 +15,8 @@
 
 /**
  * Listens on loopback.
- * @param port - 0 for any
- * @param handler - called with the whole body
- * @returns the server
+ * @param port - 0 for any free port
+ * @param handler - called with each request once its body is complete
  */
 export async function listenHttp (port: number, handler: Handler): Promise<Listening> {
   const server: Server = createServer((req, res) => {
@@ -31,8 +30,8 @@
     server.listen(port, '127.0.0.1', resolve)
   })
   const address = server.address()
-  const bound = typeof address === 'object' && address !== null ? address.port : port
-  return { port: bound, close: () => closeServer(server) }
+  const boundPort = typeof address === 'object' && address !== null ? address.port : port
+  return { port: boundPort, close: () => closeServer(server) }
 }
 
 function closeServer (server: Server): Promise<void> {
@@ -42,12 +41,7 @@
   })
 }
 
-/**
- * Sends JSON.
- * @param res - the response
- * @param status - HTTP status
- * @param body - what to send
- */
+/** Sends a body as JSON and ends the response. */
 export function sendJson (res: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body)
   res.writeHead(status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
--- a/packages/fakes/src/index.ts
+++ b/packages/fakes/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the stand-ins. Private to this repository; not for use. */
+/** Exports of the stand-ins for tests and development. The package is internal to this repository. */
 export * from './storeModel.js'
 export * from './endpointModel.js'
 export * from './endpointFake.js'
--- a/packages/fakes/src/platformFake.ts
+++ b/packages/fakes/src/platformFake.ts
@@ -1,6 +1,7 @@
 /**
- * A stand-in for the platform: the key-value service and the lagging list of instances, over HTTP, with rate
- * caps, outages, slowness and replies lost after the write. docs/PLATFORM.md publishes the interface.
+ * A stand-in for the platform over HTTP: the key-value service and the list of instances and endpoints. It applies rate caps
+ * and can simulate outages, slow replies and replies that are lost after the write took effect. docs/PLATFORM.md describes
+ * the interface.
  */
 import type { EndpointInfo, InstanceId } from '@cranberryyard/protocol'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -8,23 +9,23 @@
 import type { Listening } from './httpServer.js'
 import { StoreModel } from './storeModel.js'
 
-/** Rates the service allows. */
+/** Request rates above which the service answers 429. */
 export interface RateCaps {
   readonly writesPerSecond: number
   readonly readsPerSecond: number
 }
 
-/** Faults that can be switched on. */
+/** Faults that a test can switch on. */
 export interface PlatformFaults {
-  /** Requests are not answered. */
+  /** Closes the connection of every request without an answer. */
   down: boolean
-  /** Every request waits this long. */
+  /** Delay before each request is handled. */
   delayMs: number
-  /** This many writes take effect without a reply. */
+  /** Number of coming writes that take effect but get no reply. */
   loseReplies: number
 }
 
-/** An entry instance in the platform's list. */
+/** The entry of an instance in the platform's list. */
 export interface ListedInstance {
   readonly instance: InstanceId
   readonly address: string
@@ -32,25 +33,25 @@
 
 const DEFAULT_CAPS: RateCaps = { writesPerSecond: 400, readsPerSecond: 2000 }
 
-/** The platform on a port. */
+/** A platform that listens on a loopback port. */
 export class PlatformFake {
   readonly store = new StoreModel()
   readonly faults: PlatformFaults = { down: false, delayMs: 0, loseReplies: 0 }
   readonly calls = { reads: 0, writes: 0, watches: 0, lists: 0, overRate: 0 }
   endpoints: EndpointInfo[] = []
   instances: ListedInstance[] = []
-  /** Addresses of endpoints as a failure domain reaches them. */
+  /** Lists the endpoints with the addresses at which a failure domain reaches them. */
   endpointsFrom: (failureDomain: string) => EndpointInfo[] = () => this.endpoints
   private readonly watchers = new Set<{ key: string, after: number, wake: () => void }>()
-  private second = 0
-  private inSecond = { reads: 0, writes: 0 }
+  private currentSecond = 0
+  private requestsInSecond = { reads: 0, writes: 0 }
   private server: Listening | undefined
 
   constructor (private readonly caps: RateCaps = DEFAULT_CAPS) {
     this.store.onChange = key => this.wakeWatchers(key)
   }
 
-  /** Starts to listen. @returns the port */
+  /** @returns the port on which the platform listens */
   async listen (port = 0): Promise<number> {
     this.server = await listenHttp(port, (req, res, body) => {
       if (this.faults.delayMs > 0) setTimeout(() => this.handle(req, res, body), this.faults.delayMs)
@@ -59,14 +60,13 @@
     return this.server.port
   }
 
-  /** Stops. */
   async close (): Promise<void> {
     await this.server?.close()
   }
 
   private handle (req: IncomingMessage, res: ServerResponse, body: string): void {
     const url = new URL(req.url ?? '/', 'http://platform')
-    if (url.pathname.startsWith('/fake/')) return this.control(url, res, body)
+    if (url.pathname.startsWith('/fake/')) return this.handleControl(url, res, body)
     if (this.faults.down) {
       req.socket.destroy()
       return
@@ -116,43 +116,43 @@
     if (this.isOverRate('reads')) return sendJson(res, 429, {})
     const after = Number(url.searchParams.get('after') ?? 0)
     if ((this.store.get(key)?.revision ?? 0) > after) return this.sendValue(key, res)
-    const entry = { key, after, wake: () => {} }
+    const watcher = { key, after, wake: () => {} }
     const timer = setTimeout(() => {
-      this.watchers.delete(entry)
+      this.watchers.delete(watcher)
       res.writeHead(204).end()
     }, Number(url.searchParams.get('waitMs') ?? 30_000))
-    entry.wake = () => {
+    watcher.wake = () => {
       clearTimeout(timer)
-      this.watchers.delete(entry)
+      this.watchers.delete(watcher)
       if (this.faults.down) res.destroy()
       else this.sendValue(key, res)
     }
-    this.watchers.add(entry)
+    this.watchers.add(watcher)
     res.on('close', () => {
       clearTimeout(timer)
-      this.watchers.delete(entry)
+      this.watchers.delete(watcher)
     })
   }
 
   private wakeWatchers (key: string): void {
-    for (const w of [...this.watchers]) if (w.key === key) w.wake()
+    for (const watcher of [...this.watchers]) if (watcher.key === key) watcher.wake()
   }
 
   private isOverRate (type: 'reads' | 'writes'): boolean {
     const second = Math.floor(Date.now() / 1000)
-    if (second !== this.second) this.inSecond = { reads: 0, writes: 0 }
-    this.second = second
-    this.inSecond[type]++
+    if (second !== this.currentSecond) this.requestsInSecond = { reads: 0, writes: 0 }
+    this.currentSecond = second
+    this.requestsInSecond[type]++
     const cap = type === 'reads' ? this.caps.readsPerSecond : this.caps.writesPerSecond
-    if (this.inSecond[type] > cap) this.calls.overRate++
-    return this.inSecond[type] > cap
+    if (this.requestsInSecond[type] > cap) this.calls.overRate++
+    return this.requestsInSecond[type] > cap
   }
 
-  /** Lets a local run's operator switch faults on: `POST /fake/faults` with a PlatformFaults part. */
-  private control (url: URL, res: ServerResponse, body: string): void {
+  /** `POST /fake/faults` with some members of PlatformFaults as JSON lets whoever operates a local run switch faults on and off. */
+  private handleControl (url: URL, res: ServerResponse, body: string): void {
     if (url.pathname === '/fake/faults') {
       Object.assign(this.faults, JSON.parse(body))
-      if (this.faults.down) for (const w of [...this.watchers]) w.wake()
+      if (this.faults.down) for (const watcher of [...this.watchers]) watcher.wake()
     }
     sendJson(res, 200, { faults: this.faults, calls: this.calls })
   }
--- a/packages/fakes/src/ports.spec.ts
+++ b/packages/fakes/src/ports.spec.ts
@@ -2,11 +2,11 @@
 import { createServer } from 'node:net'
 import { PortRange } from './ports.js'
 
-/** First port that common systems hand out for connections. */
-const EPHEMERAL_FROM = 32_768
+/** Lower end of the ephemeral port range on common systems. */
+const FIRST_EPHEMERAL_PORT = 32_768
 
-describe('ports for processes of a test', () => {
-  it('are each handed out once, free, and never one that a connection may take', async () => {
+describe('the port range of a test process', () => {
+  it('returns each port once, skips ports in use and stays below the ephemeral ports', async () => {
     const ports = new PortRange()
     const first = await ports.next()
     const server = createServer()
@@ -14,6 +14,6 @@
     const next = [await ports.next(), await ports.next()]
     await new Promise(resolve => server.close(resolve))
     expect(next).to.not.include(first).and.not.include(first + 1)
-    expect(Math.max(first, ...next)).to.be.below(EPHEMERAL_FROM)
+    expect(Math.max(first, ...next)).to.be.below(FIRST_EPHEMERAL_PORT)
   })
 })
--- a/packages/fakes/src/ports.ts
+++ b/packages/fakes/src/ports.ts
@@ -1,26 +1,27 @@
 /**
- * Ports for processes that a test starts. They lie below those that the system hands out for connections: a port that
- * was free a moment ago could otherwise be taken by any connection before the process listens there.
+ * Picks ports for processes that a test starts. The ports lie below the system's ephemeral range: otherwise, any outgoing
+ * connection could take a port between the check that it is free and the moment when the process listens on it.
  */
 import { createServer } from 'node:net'
 import process from 'node:process'
 
 /**
- * First port, and size and number of the ranges, which end well below the ports that the lesson uses. Processes with
- * different ids mostly use different ranges.
+ * Each test process uses one of 75 ranges of 200 ports, chosen by its process id, so that test processes that run at the same
+ * time mostly use different ports. The last range ends at 30,000, well below the ports from 31,000 that the tutorial's test
+ * (docs.spec.ts in bench) uses.
  */
-const PORTS_FROM = 15_000
-const RANGE_SIZE = 200
-const RANGES = 75
+const FIRST_PORT = 15_000
+const PORTS_PER_RANGE = 200
+const RANGE_COUNT = 75
 
-/** Hands out free ports, each once. */
+/** Returns free ports of the process's range, each only once. */
 export class PortRange {
-  private following = PORTS_FROM + (process.pid % RANGES) * RANGE_SIZE
+  private candidate = FIRST_PORT + (process.pid % RANGE_COUNT) * PORTS_PER_RANGE
 
   /** @returns a port on which nothing listens */
   async next (): Promise<number> {
-    while (!await isFree(this.following)) this.following++
-    return this.following++
+    while (!await isFree(this.candidate)) this.candidate++
+    return this.candidate++
   }
 }
 
--- a/packages/fakes/src/shardOracle.ts
+++ b/packages/fakes/src/shardOracle.ts
@@ -1,98 +1,110 @@
 /**
- * Watches endpoints and callers of a fleet and notes every broken promise:
- * capacity exceeded, two runs of one task at once, a start for a job whose every submission was refused, a completed
- * job with a task that never ended done, a start on an endpoint that has been draining for too long.
+ * The test oracle for fleets of shard instances. It observes endpoints, callers and instances from outside and records every
+ * violation of an invariant. It is separate from the fleets because in-memory runs and runs of real processes share it.
  */
 import type { FencedEndpointModel, ModelEnd, ModelRun } from './fencedEndpointModel.js'
 
-/** Names of the checks. */
+/**
+ * The invariants. A violation means:
+ * - FAULT: an instance process ended by itself
+ * - RECOVER: too few jobs were completed after the last fault
+ * - LIMIT: the runs at an endpoint exceeded its capacity
+ * - TWICE: two runs of one task were active at once
+ * - REFUSED: a task started although all submissions of its job were refused
+ * - MIXED: a job was reported as completed although not all its tasks ended with success
+ * - DRAIN: a task started on an endpoint that had been draining for too long
+ * - CONFIG: an instance went back to an older version of the desired state
+ */
 export type Rule = 'FAULT' | 'RECOVER' | 'LIMIT' | 'TWICE' | 'REFUSED' | 'MIXED' | 'DRAIN' | 'CONFIG'
 
-/** A broken promise. */
+/** A violation of an invariant. */
 export interface Violation {
   readonly rule: Rule
   readonly at: number
   readonly detail: string
 }
 
-/** What callers got for a job over all its submissions. */
-interface JobFate {
+/** What the oracle has seen of a job, over all its submissions. */
+interface JobObservation {
   readonly tasks: number
   refusals: number
   otherReplies: number
-  open: number
+  openSubmissions: number
   started: boolean
-  readonly done: Set<string>
+  readonly doneTasks: Set<string>
 }
 
-/** Time after which nothing may start on a draining endpoint. */
-const DRAIN_MS = 2000
+/** Time after the report that an endpoint drains during which tasks may still start on it. */
+const DRAIN_GRACE_MS = 2000
 
-/** The oracle. */
+/** Checks the invariants on what the fleet reports to it. */
 export class ShardOracle {
   readonly violations: Violation[] = []
-  readonly jobs = new Map<string, JobFate>()
-  private readonly live = new Map<string, { readonly run: ModelRun, readonly endpoint: FencedEndpointModel }[]>()
+  readonly jobs = new Map<string, JobObservation>()
+  private readonly runsByTask = new Map<string, { readonly run: ModelRun, readonly endpoint: FencedEndpointModel }[]>()
   private readonly drainingSince = new Map<string, number>()
-  private readonly versions = new Map<string, number>()
+  private readonly desiredVersions = new Map<string, number>()
 
-  /** A caller sends a job, for the first time or again. */
+  /** Records that a caller sent a job, for the first time or again. */
   submitted (id: string, tasks: number): void {
-    const fate = this.jobs.get(id) ?? { tasks, refusals: 0, otherReplies: 0, open: 0, started: false, done: new Set() }
-    fate.open++
-    this.jobs.set(id, fate)
+    const job = this.jobs.get(id) ?? { tasks, refusals: 0, otherReplies: 0, openSubmissions: 0, started: false, doneTasks: new Set() }
+    job.openSubmissions++
+    this.jobs.set(id, job)
   }
 
-  /** A submission got a reply, or none. */
+  /** Records how a submission ended; `other` covers every other reply and the lack of one. */
   replied (id: string, kind: 'completed' | 'failed' | 'refused' | 'other', at: number): void {
-    const fate = this.jobs.get(id)
-    if (fate === undefined) return
-    fate.open--
-    if (kind === 'refused') fate.refusals++
-    else fate.otherReplies++
-    if (kind === 'refused' && fate.started) this.checkRefused(id, at)
-    if (kind === 'completed' && fate.done.size < fate.tasks) this.note('MIXED', at, `${id} completed with ${fate.done.size} of ${fate.tasks} tasks done`)
+    const job = this.jobs.get(id)
+    if (job === undefined) return
+    job.openSubmissions--
+    if (kind === 'refused') job.refusals++
+    else job.otherReplies++
+    if (kind === 'refused' && job.started) this.checkRefusedJob(id, at)
+    if (kind === 'completed' && job.doneTasks.size < job.tasks) this.note('MIXED', at, `${id} completed with ${job.doneTasks.size} of ${job.tasks} tasks done`)
   }
 
-  /** A task started at an endpoint. The bound on draining holds for starters that have long been in touch with the store. */
-  started (endpoint: FencedEndpointModel, task: string, at: number, starterInTouch: boolean): void {
+  /**
+   * Records the start of a task at an endpoint. Checks the time bound on draining only for an instance that had uninterrupted
+   * contact with the store, since others may not know that the endpoint drains.
+   */
+  started (endpoint: FencedEndpointModel, task: string, at: number, starterHadSteadyContact: boolean): void {
     const run = endpoint.runs.get(task)
     const id = task.slice(0, task.indexOf('.'))
-    const fate = this.jobs.get(id)
-    if (run === undefined || fate === undefined) return
-    fate.started = true
-    this.checkRefused(id, at)
+    const job = this.jobs.get(id)
+    if (run === undefined || job === undefined) return
+    job.started = true
+    this.checkRefusedJob(id, at)
     if (endpoint.usedCpuMilli() > endpoint.cpuMilli) this.note('LIMIT', at, `${endpoint.id} has ${endpoint.usedCpuMilli()} of ${endpoint.cpuMilli} in use after ${task}`)
-    const others = (this.live.get(task) ?? []).filter(other => other.endpoint.up && other.endpoint.runs.get(task) === other.run && other.run !== run)
-    if (others.length > 0) this.note('TWICE', at, `${task} on ${endpoint.id} and ${others.map(o => o.endpoint.id).join()}`)
-    this.live.set(task, [...others, { run, endpoint }])
-    const draining = this.drainingSince.get(endpoint.id)
-    if (starterInTouch && draining !== undefined && at - draining > DRAIN_MS) this.note('DRAIN', at, `${task} on ${endpoint.id}, draining for ${Math.round(at - draining)} ms`)
+    const concurrentRuns = (this.runsByTask.get(task) ?? []).filter(other => other.endpoint.up && other.endpoint.runs.get(task) === other.run && other.run !== run)
+    if (concurrentRuns.length > 0) this.note('TWICE', at, `${task} on ${endpoint.id} and ${concurrentRuns.map(o => o.endpoint.id).join()}`)
+    this.runsByTask.set(task, [...concurrentRuns, { run, endpoint }])
+    const drainingSince = this.drainingSince.get(endpoint.id)
+    if (starterHadSteadyContact && drainingSince !== undefined && at - drainingSince > DRAIN_GRACE_MS) this.note('DRAIN', at, `${task} on ${endpoint.id}, draining for ${Math.round(at - drainingSince)} ms`)
   }
 
-  /** A run ended. */
+  /** Records the end of a run. */
   ended (run: ModelRun, how: ModelEnd['how']): void {
-    if (how === 'done') this.jobs.get(run.task.slice(0, run.task.indexOf('.')))?.done.add(run.task)
+    if (how === 'done') this.jobs.get(run.task.slice(0, run.task.indexOf('.')))?.doneTasks.add(run.task)
   }
 
-  /** An endpoint's report says that it drains. */
-  draining (id: string, at: number): void {
+  /** Records that an endpoint reports that it drains; repeated reports keep the first time. */
+  recordDraining (id: string, at: number): void {
     if (!this.drainingSince.has(id)) this.drainingSince.set(id, at)
   }
 
-  /** A life of an instance works under a version of the desired state. */
-  version (life: string, version: number, at: number): void {
-    const before = this.versions.get(life) ?? 0
-    if (version < before) this.note('CONFIG', at, `${life} went from version ${before} to ${version}`)
-    this.versions.set(life, version)
+  /** Records the version of the desired state that an incarnation of an instance uses. */
+  recordDesiredVersion (incarnation: string, version: number, at: number): void {
+    const previous = this.desiredVersions.get(incarnation) ?? 0
+    if (version < previous) this.note('CONFIG', at, `${incarnation} went from version ${previous} to ${version}`)
+    this.desiredVersions.set(incarnation, version)
   }
 
-  private checkRefused (id: string, at: number): void {
-    const fate = this.jobs.get(id)
-    if (fate !== undefined && fate.started && fate.open === 0 && fate.otherReplies === 0) this.note('REFUSED', at, `${id} was refused ${fate.refusals} times and has started`)
+  private checkRefusedJob (id: string, at: number): void {
+    const job = this.jobs.get(id)
+    if (job !== undefined && job.started && job.openSubmissions === 0 && job.otherReplies === 0) this.note('REFUSED', at, `${id} was refused ${job.refusals} times and has started`)
   }
 
-  /** Notes a broken promise. */
+  /** Records a violation; runs of real processes report those that only they can detect. */
   note (rule: Rule, at: number, detail: string): void {
     this.violations.push({ rule, at, detail })
   }
--- a/packages/fakes/src/storeModel.ts
+++ b/packages/fakes/src/storeModel.ts
@@ -1,12 +1,12 @@
 /**
- * The platform's key-value service reduced to its published behaviour: compare-and-swap on a key's revision,
- * leases and a value limit. Holds no clock and no sockets, so that in-memory tests and the HTTP stand-in share it.
+ * Models the published behaviour of the platform's key-value service: compare-and-swap on a key's revision, leases and a limit
+ * on the size of a value. It has no clock and no sockets, so in-memory tests and the HTTP stand-in can share it.
  */
 
-/** Largest value the service takes. */
+/** Largest value that the service accepts. */
 export const VALUE_BYTES_MAX = 1_048_576
 
-/** A key's content. */
+/** The value of a key with its revision, which counts the writes of the key. */
 export interface StoredValue {
   readonly revision: number
   readonly value: string
@@ -25,7 +25,7 @@
   readonly keys: Set<string>
 }
 
-/** Keys, revisions and leases. */
+/** The model of the service. */
 export class StoreModel {
   private readonly values = new Map<string, StoredValue>()
   private readonly leases = new Map<string, Lease>()
@@ -33,7 +33,7 @@
   /** Called with each key that changes. */
   onChange: (key: string) => void = () => {}
 
-  /** @returns a key's value; revision 0 when it was never written */
+  /** @returns the value of a key; undefined when the key does not exist, which counts as revision 0 in `write` */
   get (key: string): StoredValue | undefined {
     return this.values.get(key)
   }
@@ -43,8 +43,7 @@
    * @param key - the key
    * @param value - the new value
    * @param expectedRevision - 0 for a key that must not exist
-   * @param lease - lease that the key is to end with
-   * @returns how it ended
+   * @param lease - lease with whose expiry the key is removed
    */
   write (key: string, value: string, expectedRevision: number, lease?: string): WriteResult {
     if (Buffer.byteLength(value) > VALUE_BYTES_MAX) return { type: 'tooLarge' }
@@ -57,22 +56,22 @@
     return { type: 'written', revision: revision + 1 }
   }
 
-  /** @returns a new lease that ends after ttlMs without renewal */
+  /** @returns the id of a new lease, which expires after `ttlMs` without renewal */
   grant (ttlMs: number, now: number): string {
     const id = `lease-${++this.leaseCounter}`
     this.leases.set(id, { ttlMs, expiresAt: now + ttlMs, keys: new Set() })
     return id
   }
 
-  /** @returns false when the lease has ended */
+  /** @returns false when the lease has expired or does not exist */
   renew (lease: string, now: number): boolean {
-    const known = this.leases.get(lease)
-    if (known === undefined || now >= known.expiresAt) return false
-    known.expiresAt = now + known.ttlMs
+    const found = this.leases.get(lease)
+    if (found === undefined || now >= found.expiresAt) return false
+    found.expiresAt = now + found.ttlMs
     return true
   }
 
-  /** Ends leases whose time has passed and removes their keys. */
+  /** Removes expired leases and the keys attached to them. */
   expire (now: number): void {
     for (const [id, lease] of this.leases) {
       if (now < lease.expiresAt) continue
