--- a/packages/bench/src/shard/takeover.spec.ts
+++ b/packages/bench/src/shard/takeover.spec.ts
@@ -9,7 +9,7 @@
 const JOB_PERIOD_MS = 20
 const OWNER = 'a-1' as InstanceId
 const SUBMISSION_INSTANCE = 'a-0' as InstanceId
-/** Downtime after which the run of a test is over. */
+/** Downtime that is longer than the rest of any test run here. */
 const BEYOND_TEST_MS = 60_000
 
 type CauseOwnerLoss = (fleet: ShardFleet) => void
