--- a/packages/bench/src/fuzz/commands.ts
+++ b/packages/bench/src/fuzz/commands.ts
@@ -1,5 +1,7 @@
 /**
- * Commands of the stateful fuzzer: callers' requests, operators' changes and faults, as fast-check generates them.
+ * Generates the commands of the stateful fuzzer: requests of callers, changes by operators, and faults. Each command
+ * acts on a fleet in memory and then has the oracle check it. The commands are separate from the run itself so that a
+ * run can draw them in any order and fast-check can shrink a failing sequence.
  */
 import fc from 'fast-check'
 import type { AsyncCommand } from 'fast-check'
@@ -11,30 +13,30 @@
 import { TEAM_KEY_HASH, testJob, testKeyHash } from '../memory/workload.js'
 import type { Oracle } from './oracle.js'
 
-/** Customers of fuzzed fleets, with their limits. */
+/** Customers of a fuzzed fleet; `running` is the limit on tasks that run at the same time. */
 export const FUZZ_CUSTOMERS = [{ name: 'alpha', running: 12 }, { name: 'beta', running: 3 }] as const
 
-/** The system under test with its oracle. */
-export interface World {
+/** A fleet in memory with the oracle that checks it. */
+export interface SystemUnderTest {
   readonly fleet: MemoryFleet
   readonly oracle: Oracle
 }
 
-/** The oracle holds the model; commands need no state of their own. */
+/** Empty model for fast-check: the oracle keeps the expected state, so commands need none of their own. */
 export type Model = Record<string, never>
 
-type Act = (world: World) => void
+type Action = (system: SystemUnderTest) => void
 
-class FuzzCommand implements AsyncCommand<Model, World> {
-  constructor (private readonly name: string, private readonly act: Act) {}
+class FuzzCommand implements AsyncCommand<Model, SystemUnderTest> {
+  constructor (private readonly name: string, private readonly action: Action) {}
 
   check (): boolean {
     return true
   }
 
-  async run (_model: Model, world: World): Promise<void> {
-    this.act(world)
-    world.oracle.check()
+  async run (_model: Model, system: SystemUnderTest): Promise<void> {
+    this.action(system)
+    system.oracle.check()
   }
 
   toString (): string {
@@ -42,167 +44,167 @@
   }
 }
 
-const command = (name: string, act: Act): FuzzCommand => new FuzzCommand(name, act)
+const command = (name: string, action: Action): FuzzCommand => new FuzzCommand(name, action)
 
-const index = fc.nat(8)
-const domain = fc.nat(2)
+const instanceIndex = fc.nat(8)
+const domainIndex = fc.nat(2)
 const customer = fc.constantFrom(...FUZZ_CUSTOMERS)
 
-function nodeAt (world: World, i: number): MemoryNode {
-  const { nodes } = world.fleet
+function nodeAt (system: SystemUnderTest, i: number): MemoryNode {
+  const { nodes } = system.fleet
   const node = nodes[i % nodes.length]
-  if (node === undefined) throw codedError('unknownSubmission', 'no instance')
+  if (node === undefined) throw codedError('unknownSubmission', `no instance for index ${i}: the fleet has ${nodes.length}`)
   return node
 }
 
-const submit = fc.tuple(index, customer, fc.boolean(), fc.nat(200), fc.integer({ min: 1, max: 10 }), fc.integer({ min: 20, max: 2500 }))
-  .map(([i, c, serial, id, count, runMs]) => command(`submit(${i},${c.name},${serial ? 'serial' : 'compute'},r${id},${count}x${runMs}ms)`, (world) => {
-    const node = nodeAt(world, i)
+const submit = fc.tuple(instanceIndex, customer, fc.boolean(), fc.nat(200), fc.integer({ min: 1, max: 10 }), fc.integer({ min: 20, max: 2500 }))
+  .map(([i, c, serial, id, count, runMs]) => command(`submit(${i},${c.name},${serial ? 'serial' : 'compute'},r${id},${count}x${runMs}ms)`, (system) => {
+    const node = nodeAt(system, i)
     if (node.core === undefined) return
     const kind = serial ? 'serial' : 'compute'
     const job = testJob(c.name, `${kind}-${id}`, kind, new Array<number>(count).fill(runMs))
-    world.fleet.submit(node, testKeyHash(c.name), c.name, job)
+    system.fleet.submit(node, testKeyHash(c.name), c.name, job)
   }))
 
-/** Small run times and few ids, so that resubmissions meet their first submission in every state. */
-const resubmit = fc.tuple(index, index, customer, fc.nat(3), fc.integer({ min: 0, max: 800 }))
-  .map(([a, b, c, id, gap]) => command(`resubmit(${a},${b},${c.name},s${id},after ${gap}ms)`, (world) => {
+/** Short run times and few request ids, so that a resubmission finds the first submission in every possible state. */
+const resubmit = fc.tuple(instanceIndex, instanceIndex, customer, fc.nat(3), fc.integer({ min: 0, max: 800 }))
+  .map(([a, b, c, id, gap]) => command(`resubmit(${a},${b},${c.name},s${id},after ${gap}ms)`, (system) => {
     const job = testJob(c.name, `again-${id}`, 'serial', [150, 300])
-    const first = nodeAt(world, a)
-    if (first.core !== undefined) world.fleet.submit(first, testKeyHash(c.name), c.name, job)
-    world.fleet.run(gap)
-    const second = nodeAt(world, b)
-    if (second.core !== undefined) world.fleet.submit(second, testKeyHash(c.name), c.name, job)
+    const first = nodeAt(system, a)
+    if (first.core !== undefined) system.fleet.submit(first, testKeyHash(c.name), c.name, job)
+    system.fleet.run(gap)
+    const second = nodeAt(system, b)
+    if (second.core !== undefined) system.fleet.submit(second, testKeyHash(c.name), c.name, job)
   }))
 
-const cancel = fc.nat(1000).map(n => command(`cancel(${n})`, (world) => {
-  const { calls } = world.fleet
+const cancel = fc.nat(1000).map(n => command(`cancel(${n})`, (system) => {
+  const { calls } = system.fleet
   const call = calls[n % Math.max(1, calls.length)]
-  const node = call === undefined ? undefined : world.fleet.node(call.instance)
-  if (call !== undefined && node !== undefined) world.fleet.cancel(node, testKeyHash(call.customer), call)
+  const node = call === undefined ? undefined : system.fleet.node(call.instance)
+  if (call !== undefined && node !== undefined) system.fleet.cancel(node, testKeyHash(call.customer), call)
 }))
 
-const advance = fc.integer({ min: 1, max: 4000 }).map(n => command(`advance(${n}ms)`, world => world.fleet.run(n)))
+const advance = fc.integer({ min: 1, max: 4000 }).map(n => command(`advance(${n}ms)`, system => system.fleet.run(n)))
 
-const kill = index.map(i => command(`kill(${i})`, (world) => {
-  const node = nodeAt(world, i)
+const kill = instanceIndex.map(i => command(`kill(${i})`, (system) => {
+  const node = nodeAt(system, i)
   if (node.core === undefined) return
-  world.oracle.noteDeath(node)
-  world.fleet.kill(node)
+  system.oracle.noteDeath(node)
+  system.fleet.kill(node)
 }))
 
-const restart = index.map(i => command(`restart(${i})`, (world) => {
-  const node = nodeAt(world, i)
+const restart = instanceIndex.map(i => command(`restart(${i})`, (system) => {
+  const node = nodeAt(system, i)
   if (node.core !== undefined) {
-    world.oracle.noteDeath(node)
-    world.fleet.kill(node)
+    system.oracle.noteDeath(node)
+    system.fleet.kill(node)
   }
-  world.fleet.start(node)
+  system.fleet.start(node)
 }))
 
-const leave = index.map(i => command(`leave(${i})`, world => world.fleet.post(nodeAt(world, i), { type: 'leave' })))
+const leave = instanceIndex.map(i => command(`leave(${i})`, system => system.fleet.post(nodeAt(system, i), { type: 'leave' })))
 
-const pause = fc.tuple(index, fc.integer({ min: 50, max: 9000 }))
-  .map(([i, n]) => command(`pause(${i},${n}ms)`, world => world.fleet.pause(nodeAt(world, i), n)))
+const pause = fc.tuple(instanceIndex, fc.integer({ min: 50, max: 9000 }))
+  .map(([i, n]) => command(`pause(${i},${n}ms)`, system => system.fleet.pause(nodeAt(system, i), n)))
 
-const cutDomain = fc.tuple(domain, fc.constantFrom('all', 'peers', 'platform', 'oneWay')).map(([d, how]) => command(`cut(domain-${d + 1},${how})`, (world) => {
-  const { links } = world.fleet
+const cutDomain = fc.tuple(domainIndex, fc.constantFrom('all', 'peers', 'platform', 'oneWay')).map(([d, scope]) => command(`cut(domain-${d + 1},${scope})`, (system) => {
+  const { links } = system.fleet
   const own = `domain-${d + 1}`
   for (const other of ['domain-1', 'domain-2', 'domain-3'].filter(o => o !== own)) {
-    if (how === 'all' || how === 'peers') links.cut(own, other)
-    if (how === 'oneWay') links.cutOneWay(own, other)
+    if (scope === 'all' || scope === 'peers') links.cut(own, other)
+    if (scope === 'oneWay') links.cutOneWay(own, other)
   }
-  if (how === 'all' || how === 'platform') links.cut(own, PLATFORM)
+  if (scope === 'all' || scope === 'platform') links.cut(own, PLATFORM)
 }))
 
-const heal = fc.constant(command('heal()', world => world.fleet.heal()))
+const heal = fc.constant(command('heal()', system => system.fleet.heal()))
 
-const storeDown = fc.boolean().map(down => command(`storeDown(${down})`, (world) => {
-  world.fleet.storeDown = down
+const storeDown = fc.boolean().map(down => command(`storeDown(${down})`, (system) => {
+  system.fleet.storeDown = down
 }))
 
-const loseReply = fc.constant(command('loseStoreReply()', (world) => {
-  world.fleet.loseStoreReplies++
+const loseStoreReply = fc.constant(command('loseStoreReply()', (system) => {
+  system.fleet.loseStoreReplies++
 }))
 
-const breakStarts = fc.constantFrom(0, 30, 200).map(n => command(`breakStarts(${n}/1000)`, (world) => {
-  world.fleet.brokenStartsPerMille = n
+const breakStartConnections = fc.constantFrom(0, 30, 200).map(n => command(`breakStarts(${n}/1000)`, (system) => {
+  system.fleet.brokenStartsPerMille = n
 }))
 
-const delayStarts = fc.constantFrom(0, 100, 600).map(n => command(`delayStarts(${n}ms)`, (world) => {
-  world.fleet.startDelayMs = n
+const delayStarts = fc.constantFrom(0, 100, 600).map(n => command(`delayStarts(${n}ms)`, (system) => {
+  system.fleet.startDelayMs = n
 }))
 
-const loss = fc.tuple(fc.constantFrom(0, 20, 200), fc.constantFrom(0, 20, 100), fc.constantFrom(0, 100)).map(([lost, late, double]) => command(`links(lost ${lost}, late ${late}, double ${double} of 1000)`, (world) => {
-  Object.assign(world.fleet.links.profile, { lossPerMille: lost, latePerMille: late, doublePerMille: double })
+const linkFaults = fc.tuple(fc.constantFrom(0, 20, 200), fc.constantFrom(0, 20, 100), fc.constantFrom(0, 100)).map(([lost, late, double]) => command(`links(lost ${lost}, late ${late}, double ${double} of 1000)`, (system) => {
+  Object.assign(system.fleet.links.profile, { lossPerMille: lost, latePerMille: late, doublePerMille: double })
 }))
 
-/** Enough long tasks at several instances that every permit is wanted. */
-const flood = fc.tuple(customer, fc.integer({ min: 1500, max: 6000 }), fc.nat(1_000_000)).map(([c, runMs, id]) => command(`flood(${c.name},${runMs}ms)`, (world) => {
-  world.fleet.nodes.forEach((node, i) => {
+/** Submits enough long tasks at every second instance that demand exceeds the permits of the customer. */
+const flood = fc.tuple(customer, fc.integer({ min: 1500, max: 6000 }), fc.nat(1_000_000)).map(([c, runMs, id]) => command(`flood(${c.name},${runMs}ms)`, (system) => {
+  system.fleet.nodes.forEach((node, i) => {
     if (node.core === undefined || i % 2 === 1) return
-    const job = testJob(c.name, `flood-${id}-${i}-${Math.round(world.fleet.time.now)}`, 'compute', new Array<number>(c.running).fill(runMs))
-    world.fleet.submit(node, testKeyHash(c.name), c.name, job)
+    const job = testJob(c.name, `flood-${id}-${i}-${Math.round(system.fleet.time.now)}`, 'compute', new Array<number>(c.running).fill(runMs))
+    system.fleet.submit(node, testKeyHash(c.name), c.name, job)
   })
 }))
 
-function schedulerOf (world: World): MemoryNode | undefined {
-  return world.fleet.nodes.find(n => n.core?.routing.isScheduler() === true)
+function schedulerOf (system: SystemUnderTest): MemoryNode | undefined {
+  return system.fleet.nodes.find(n => n.core?.routing.isScheduler() === true)
 }
 
-const killScheduler = fc.boolean().map(again => command(`killScheduler(${again ? 'restart' : 'stay down'})`, (world) => {
-  const node = schedulerOf(world)
+const killScheduler = fc.boolean().map(restarts => command(`killScheduler(${restarts ? 'restart' : 'stay down'})`, (system) => {
+  const node = schedulerOf(system)
   if (node === undefined) return
-  world.oracle.noteDeath(node)
-  world.fleet.kill(node)
-  if (again) world.fleet.start(node)
+  system.oracle.noteDeath(node)
+  system.fleet.kill(node)
+  if (restarts) system.fleet.start(node)
 }))
 
-const pauseScheduler = fc.integer({ min: 500, max: 9000 }).map(n => command(`pauseScheduler(${n}ms)`, (world) => {
-  const node = schedulerOf(world)
-  if (node !== undefined) world.fleet.pause(node, n)
+const pauseScheduler = fc.integer({ min: 500, max: 9000 }).map(n => command(`pauseScheduler(${n}ms)`, (system) => {
+  const node = schedulerOf(system)
+  if (node !== undefined) system.fleet.pause(node, n)
 }))
 
-/** Replaces the claim holders of a request one after the other. */
+/** Restarts the instances that hold the claim of a request, one after the other. */
 const replaceHolders = fc.tuple(customer, fc.nat(3), fc.integer({ min: 1, max: 3 }), fc.integer({ min: 200, max: 6000 }))
-  .map(([c, id, count, gap]) => command(`replaceHolders(${c.name},s${id},${count} every ${gap}ms)`, (world) => {
+  .map(([c, id, count, gap]) => command(`replaceHolders(${c.name},s${id},${count} every ${gap}ms)`, (system) => {
     const bucket = bucketOf(c.name as CustomerId, `again-${id}` as RequestId)
-    const holders = holdersOf(bucket, world.fleet.storedFleet().claimVoters.entries)
+    const holders = holdersOf(bucket, system.fleet.storedFleet().claimVoters.entries)
     for (const holder of holders.slice(0, count)) {
-      const node = world.fleet.nodes.find(n => holder.startsWith(`${n.id}#`))
+      const node = system.fleet.nodes.find(n => holder.startsWith(`${n.id}#`))
       if (node === undefined) continue
-      world.oracle.noteDeath(node)
-      world.fleet.kill(node)
-      world.fleet.start(node)
-      world.fleet.run(gap)
-      world.oracle.check()
+      system.oracle.noteDeath(node)
+      system.fleet.kill(node)
+      system.fleet.start(node)
+      system.fleet.run(gap)
+      system.oracle.check()
     }
   }))
 
 const misbehave = fc.tuple(fc.nat(5), fc.constantFrom('none', 'failsEveryTask', 'straggler', 'hangs', 'refuses') as fc.Arbitrary<'none' | 'hangs'>)
-  .map(([e, as]) => command(`misbehave(${e},${as})`, (world) => {
-    const endpoint = world.fleet.endpoints[e]
-    if (endpoint !== undefined) endpoint.model.misbehaviour = as
+  .map(([e, misbehaviour]) => command(`misbehave(${e},${misbehaviour})`, (system) => {
+    const endpoint = system.fleet.endpoints[e]
+    if (endpoint !== undefined) endpoint.model.misbehaviour = misbehaviour
   }))
 
-const setLimit = fc.tuple(index, customer, fc.integer({ min: 1, max: 24 }), fc.nat(1_000_000)).map(([i, c, running, id]) => command(`setLimit(${i},${c.name},${running})`, (world) => {
-  const node = nodeAt(world, i)
+const setLimit = fc.tuple(instanceIndex, customer, fc.integer({ min: 1, max: 24 }), fc.nat(1_000_000)).map(([i, c, running, id]) => command(`setLimit(${i},${c.name},${running})`, (system) => {
+  const node = nodeAt(system, i)
   const record = node.core?.contracts.db.fleet.contracts.find(r => r.contract.customer === c.name)
   if (record === undefined) return
   const contract = { ...record.contract, limits: { ...record.contract.limits, running } }
-  const changeId = `fuzz-${id}-${Math.round(world.fleet.time.now)}` as ChangeId
+  const changeId = `fuzz-${id}-${Math.round(system.fleet.time.now)}` as ChangeId
   const change = { type: 'contract', contract, expectedRevision: record.revision } as const
-  world.fleet.post(node, { type: 'change', callId: changeId, request: { changeId, keyHash: TEAM_KEY_HASH, reason: 'fuzz', change } })
+  system.fleet.post(node, { type: 'change', callId: changeId, request: { changeId, keyHash: TEAM_KEY_HASH, reason: 'fuzz', change } })
 }))
 
-const order = fc.tuple(index, fc.nat(5), fc.constantFrom('active', 'draining', 'stopped') as fc.Arbitrary<EndpointOrder>, fc.nat(1_000_000)).map(([i, e, what, id]) => command(`order(${i},${e},${what})`, (world) => {
-  const endpoint = world.fleet.endpoints[e]?.id ?? '' as EndpointId
-  const changeId = `order-${id}-${Math.round(world.fleet.time.now)}` as ChangeId
-  const change = { type: 'endpoint', endpoint, order: what, force: false } as const
-  world.fleet.post(nodeAt(world, i), { type: 'change', callId: changeId, request: { changeId, keyHash: TEAM_KEY_HASH, reason: 'fuzz', change } })
+const orderEndpoint = fc.tuple(instanceIndex, fc.nat(5), fc.constantFrom('active', 'draining', 'stopped') as fc.Arbitrary<EndpointOrder>, fc.nat(1_000_000)).map(([i, e, requested, id]) => command(`order(${i},${e},${requested})`, (system) => {
+  const endpoint = system.fleet.endpoints[e]?.id ?? '' as EndpointId
+  const changeId = `order-${id}-${Math.round(system.fleet.time.now)}` as ChangeId
+  const change = { type: 'endpoint', endpoint, order: requested, force: false } as const
+  system.fleet.post(nodeAt(system, i), { type: 'change', callId: changeId, request: { changeId, keyHash: TEAM_KEY_HASH, reason: 'fuzz', change } })
 }))
 
-/** All commands, the frequent ones repeated. */
+/** All commands. A command that is listed several times is drawn more often. */
 export const COMMANDS = [
   submit,
   submit,
@@ -231,12 +233,12 @@
   heal,
   heal,
   storeDown,
-  loseReply,
-  breakStarts,
+  loseStoreReply,
+  breakStartConnections,
   delayStarts,
-  loss,
+  linkFaults,
   misbehave,
   setLimit,
   setLimit,
-  order
+  orderEndpoint
 ]
--- a/packages/bench/src/fuzz/fuzz.spec.ts
+++ b/packages/bench/src/fuzz/fuzz.spec.ts
@@ -5,9 +5,9 @@
 import { MUTATIONS } from './mutations.js'
 import { runFuzz } from './runFuzz.js'
 
-const run = promisify(execFile)
+const execute = promisify(execFile)
 const MUTANT = fileURLToPath(new URL('./mutant.js', import.meta.url))
-const AT_ONCE = 4
+const PARALLEL_MUTANTS = 4
 const SEED = 7
 const RUNS_MAX = 1
 
@@ -18,7 +18,7 @@
 }
 
 async function fuzzMutant (name: string): Promise<MutantReport> {
-  const { stdout } = await run(process.execPath, [MUTANT, name, String(SEED), String(RUNS_MAX)])
+  const { stdout } = await execute(process.execPath, [MUTANT, name, String(SEED), String(RUNS_MAX)])
   return JSON.parse(stdout.trim().split('\n').at(-1) ?? '{}') as MutantReport
 }
 
@@ -27,7 +27,7 @@
   const worker = async (): Promise<void> => {
     for (let name = names.shift(); name !== undefined; name = names.shift()) reports.push(await fuzzMutant(name))
   }
-  await Promise.all(Array.from({ length: AT_ONCE }, worker))
+  await Promise.all(Array.from({ length: PARALLEL_MUTANTS }, worker))
   return reports
 }
 
@@ -35,13 +35,13 @@
   this.timeout(280_000)
 
   for (const seed of [1, 7]) {
-    it(`keeps every promise with seed ${seed}`, async () => {
+    it(`finds no violation in 12 runs with seed ${seed}`, async () => {
       const outcome = await runFuzz({ seed, runs: 12, commandsMax: 40, endOnFailure: true })
       expect(outcome.failed, `${outcome.reason}\n${outcome.report}`).to.equal(false)
     })
   }
 
-  it('catches every seeded mutation of core', async () => {
+  it('catches every mutation of core', async () => {
     const reports = await fuzzMutants(MUTATIONS.map(m => m.name))
     expect(reports.length).to.equal(MUTATIONS.length)
     expect(reports.filter(r => !r.caught)).to.deep.equal([])
--- a/packages/bench/src/fuzz/oracle.ts
+++ b/packages/bench/src/fuzz/oracle.ts
@@ -1,90 +1,91 @@
 /**
- * A simple oracle over an in-memory fleet: it looks only at what endpoints started and what callers were told,
- * never at the counters of the instances.
+ * Checks the guarantees of a fleet in memory. The oracle works from the starts that endpoints accepted, the answers that
+ * callers received, and the contract versions of the store and the instances. It never reads the counters of the instances,
+ * so that an error in their bookkeeping can't hide a violation.
  */
 import type { Fleet, StartRequest } from '@cranberryyard/protocol'
 import type { CallRecord, MemoryFleet, MemoryNode } from '../memory/memoryFleet.js'
 import { resultOf } from '../memory/workload.js'
 
-/** What test payloads carry. */
-export interface OwnedPayload {
+/** Fields of a test payload that say which customer and request a task belongs to. */
+export interface TestPayload {
   readonly customer: string
   readonly requestId: string
   readonly kind: string
 }
 
-/** A broken promise. */
+/** A violated guarantee. */
 export class Violation extends Error {}
 
-/** A dead instance may have tasks running for as long as its leases last; its version counts until then. */
-const DEAD_COUNTS_MS = 10_000
+/** Tasks of a dead instance may run until their leases expire; its contract version counts until then. */
+const DEAD_INSTANCE_LEASE_MS = 10_000
 
 interface NodeVersion {
   version: number
   inForce: number
-  life: number
+  generation: number
   diedAt: number | undefined
 }
 
-/** Checks the promises during and after a run. */
+/** Checks the guarantees during and after a run. */
 export class Oracle {
-  /** Largest number of tasks above the limit seen at any start. */
+  /** Largest number of running tasks above the limit, over all starts. */
   overshoot = 0
   private readonly startsByTask = new Map<string, number>()
   private readonly startsBySubmission = new Map<string, number>()
   private readonly submissionsByRequest = new Map<string, Set<string>>()
-  private readonly limits = new Map<number, ReadonlyMap<string, number>>()
+  private readonly limitsByVersion = new Map<number, ReadonlyMap<string, number>>()
   private readonly versions = new Map<string, NodeVersion>()
-  private readonly lost = new Set<string>()
-  private readonly running = new Map<string, Set<() => boolean>>()
+  private readonly lostCalls = new Set<string>()
+  private readonly runningByCustomer = new Map<string, Set<() => boolean>>()
 
   constructor (private readonly fleet: MemoryFleet) {
-    fleet.onStart = (endpoint, request) => this.started(endpoint.model.log.at(-1), request)
-    const wake = fleet.store.onChange
+    fleet.onStart = (endpoint, request) => this.recordStart(endpoint.model.log.at(-1), request)
+    const notifyWatchers = fleet.store.onChange
     fleet.store.onChange = (key) => {
-      this.noteLimits()
-      wake(key)
+      this.recordLimits()
+      notifyWatchers(key)
     }
-    this.noteLimits()
+    this.recordLimits()
   }
 
-  /** Notes that an instance died or left; calls that wait there are lost with it. */
+  /** Records that an instance died or left. Its open calls are lost with it and need no answer. */
   noteDeath (node: MemoryNode): void {
-    const known = this.versions.get(node.id)
-    if (known !== undefined) known.diedAt = this.fleet.time.now
-    for (const call of this.fleet.calls) if (call.instance === node.id && !isEnded(call)) this.lost.add(call.callId)
+    const recorded = this.versions.get(node.id)
+    if (recorded !== undefined) recorded.diedAt = this.fleet.time.now
+    for (const call of this.fleet.calls) if (call.instance === node.id && !isEnded(call)) this.lostCalls.add(call.callId)
   }
 
-  /** Checks what can be checked at any moment. */
+  /** Checks the guarantees that hold at any time. */
   check (): void {
     for (const node of this.fleet.nodes) this.checkVersion(node)
     for (const call of this.fleet.calls) this.checkCall(call)
   }
 
-  /** Checks that every call has ended, once all faults are over and time has passed. */
+  /** Checks in addition that every call has ended. Call it after all faults have ended and the fleet has had time to recover. */
   checkEnd (): void {
     this.check()
     for (const call of this.fleet.calls) {
-      if (!isEnded(call) && !this.lost.has(call.callId)) throw new Violation(`call ${call.callId} of ${call.job.requestId} has no answer`)
+      if (!isEnded(call) && !this.lostCalls.has(call.callId)) throw new Violation(`call ${call.callId} of ${call.job.requestId} has no answer`)
     }
   }
 
-  private started (log: { endedAt: number | undefined } | undefined, request: StartRequest): void {
-    const { customer, requestId, kind } = request.payload as OwnedPayload
+  private recordStart (log: { endedAt: number | undefined } | undefined, request: StartRequest): void {
+    const { customer, requestId, kind } = request.payload as TestPayload
     const submission = request.taskId.slice(0, request.taskId.lastIndexOf('/'))
-    this.checkOnce(request.taskId)
+    this.checkStartedOnce(request.taskId)
     this.startsBySubmission.set(submission, (this.startsBySubmission.get(submission) ?? 0) + 1)
-    if (kind === 'serial') this.checkSerial(customer, requestId, submission)
+    if (kind === 'serial') this.checkRequestRunsOnce(customer, requestId, submission)
     if (log !== undefined) this.checkLimit(customer, log)
   }
 
-  private checkOnce (task: string): void {
+  private checkStartedOnce (task: string): void {
     const starts = (this.startsByTask.get(task) ?? 0) + 1
     this.startsByTask.set(task, starts)
     if (starts > 1) throw new Violation(`task ${task} started ${starts} times`)
   }
 
-  private checkSerial (customer: string, requestId: string, submission: string): void {
+  private checkRequestRunsOnce (customer: string, requestId: string, submission: string): void {
     const key = `${customer}/${requestId}`
     const submissions = this.submissionsByRequest.get(key) ?? new Set<string>()
     submissions.add(submission)
@@ -93,56 +94,60 @@
   }
 
   private checkLimit (customer: string, log: { endedAt: number | undefined }): void {
-    const set = this.running.get(customer) ?? new Set<() => boolean>()
-    this.running.set(customer, set)
-    set.add(() => log.endedAt === undefined)
-    if (set.size > this.allowed(customer)) this.countRunning(customer, set)
+    const running = this.runningByCustomer.get(customer) ?? new Set<() => boolean>()
+    this.runningByCustomer.set(customer, running)
+    running.add(() => log.endedAt === undefined)
+    if (running.size > this.largestLimit(customer)) this.checkRunning(customer, running)
   }
 
-  private countRunning (customer: string, set: Set<() => boolean>): void {
+  /** Removes ended tasks from the set and then compares. Called only when the set, with ended tasks in it, exceeds the limit. */
+  private checkRunning (customer: string, running: Set<() => boolean>): void {
     for (const e of this.fleet.endpoints) e.model.advance(this.fleet.time.now)
-    for (const isRunning of [...set]) if (!isRunning()) set.delete(isRunning)
-    const allowed = this.allowed(customer)
-    this.overshoot = Math.max(this.overshoot, set.size - allowed)
-    if (set.size > allowed) throw new Violation(`${set.size} tasks of ${customer} run at ${Math.round(this.fleet.time.now)} ms, ${allowed} are allowed`)
+    for (const isRunning of [...running]) if (!isRunning()) running.delete(isRunning)
+    const allowed = this.largestLimit(customer)
+    this.overshoot = Math.max(this.overshoot, running.size - allowed)
+    if (running.size > allowed) throw new Violation(`${running.size} tasks of ${customer} run at ${Math.round(this.fleet.time.now)} ms, ${allowed} are allowed`)
   }
 
-  /** The largest limit among versions that some instance may still follow. */
-  private allowed (customer: string): number {
+  /**
+   * @returns the largest limit among the contract versions that an instance may still apply; when the lowest version in force
+   * was never recorded, the last recorded version before it counts too
+   */
+  private largestLimit (customer: string): number {
     const now = this.fleet.time.now
-    for (const node of this.fleet.nodes) this.noteVersion(node)
-    const counting = [...this.versions.values()].filter(v => v.diedAt === undefined || now - v.diedAt < DEAD_COUNTS_MS)
-    const lowest = Math.min(...counting.map(v => v.inForce))
+    for (const node of this.fleet.nodes) this.recordVersion(node)
+    const relevant = [...this.versions.values()].filter(v => v.diedAt === undefined || now - v.diedAt < DEAD_INSTANCE_LEASE_MS)
+    const lowestInForce = Math.min(...relevant.map(v => v.inForce))
     let allowed = 0
-    let below = 0
-    for (const [version, limits] of this.limits) {
+    let previousLimit = 0
+    for (const [version, limits] of this.limitsByVersion) {
       const limit = limits.get(customer) ?? 0
-      if (version >= lowest) allowed = Math.max(allowed, limit)
-      else below = limit
+      if (version >= lowestInForce) allowed = Math.max(allowed, limit)
+      else previousLimit = limit
     }
-    return Math.max(allowed, this.limits.has(lowest) ? 0 : below)
+    return Math.max(allowed, this.limitsByVersion.has(lowestInForce) ? 0 : previousLimit)
   }
 
-  private noteLimits (): void {
+  private recordLimits (): void {
     const stored: Fleet = this.fleet.storedFleet()
-    this.limits.set(stored.version, new Map(stored.contracts.map(r => [r.contract.customer, r.contract.limits.running])))
+    this.limitsByVersion.set(stored.version, new Map(stored.contracts.map(r => [r.contract.customer, r.contract.limits.running])))
   }
 
-  private noteVersion (node: MemoryNode): void {
+  private recordVersion (node: MemoryNode): void {
     if (node.core === undefined) return
-    const known = this.versions.get(node.id)
+    const recorded = this.versions.get(node.id)
     const inForce = node.core.limits.versionInForce
-    if (known === undefined || known.life !== node.life) this.versions.set(node.id, { version: node.core.contracts.version, inForce, life: node.life, diedAt: undefined })
-    else known.inForce = inForce
+    if (recorded === undefined || recorded.generation !== node.generation) this.versions.set(node.id, { version: node.core.contracts.version, inForce, generation: node.generation, diedAt: undefined })
+    else recorded.inForce = inForce
   }
 
   private checkVersion (node: MemoryNode): void {
     if (node.core === undefined) return
-    this.noteVersion(node)
-    const known = this.versions.get(node.id)
+    this.recordVersion(node)
+    const recorded = this.versions.get(node.id)
     const { version } = node.core.contracts
-    if (known !== undefined && version < known.version) throw new Violation(`${node.id} went back from version ${known.version} to ${version}`)
-    if (known !== undefined) known.version = version
+    if (recorded !== undefined && version < recorded.version) throw new Violation(`${node.id} went back from contract version ${recorded.version} to ${version}`)
+    if (recorded !== undefined) recorded.version = version
   }
 
   private checkCall (call: CallRecord): void {
@@ -164,12 +169,12 @@
 
   private checkComplete (call: CallRecord, results: readonly unknown[]): void {
     const expected = call.job.tasks.map((_, i) => resultOf(call.job.requestId, i))
-    const right = results.length === expected.length && expected.every((r, i) => results[i] === r)
-    if (!right) throw new Violation(`call ${call.callId} got results that are not its own, whole and in order`)
+    const isExpected = results.length === expected.length && expected.every((r, i) => results[i] === r)
+    if (!isExpected) throw new Violation(`call ${call.callId} did not get exactly the results of its own tasks in order`)
   }
 }
 
-/** @returns true when a call has been answered or refused */
+/** @returns true when the call has an answer or a refusal */
 export function isEnded (call: CallRecord): boolean {
   return call.answers.length + call.refusals.length > 0
 }
--- a/packages/bench/src/fuzz/traces.spec.ts
+++ b/packages/bench/src/fuzz/traces.spec.ts
@@ -1,6 +1,6 @@
 import { TRACES } from './traces.js'
 
-describe('traces end without a broken promise', function () {
+describe('no guarantee is violated when', function () {
   this.timeout(60_000)
 
   for (const trace of TRACES) it(trace.name, () => trace.run())
