--- a/packages/bench/src/memory/memoryFleet.ts
+++ b/packages/bench/src/memory/memoryFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several core instances over in-memory links, with stand-in endpoints and store, on virtual time. Small on
- * purpose: it carries effects out and injects faults; it knows nothing of the decisions.
+ * Runs several core instances over in-memory links on virtual time, with stand-ins for endpoints and store. It executes
+ * the effects of the instances and injects faults. It contains no decision logic, so that a run tests core alone.
  */
 import { Instance, seededRandom } from '@cranberryyard/core'
 import type { CoreConfig, Effect, Input, Random } from '@cranberryyard/core'
@@ -14,11 +14,11 @@
 
 const TICK_MS = 25
 const FLEET_KEY = 'fleet'
-const STORE_MS = 4
-/** Wall time at the start of virtual time. */
+const STORE_LATENCY_MS = 4
+/** Wall-clock time at the start of virtual time. */
 const WALL_START_MS = 1_700_000_000_000
 
-/** Shape of an in-memory fleet. */
+/** Size, contracts and network of an in-memory fleet. */
 export interface MemoryOptions {
   readonly seed: number
   readonly domains: number
@@ -27,16 +27,16 @@
   readonly endpointSize: EndpointSize
   readonly contracts: readonly Contract[]
   readonly link: LinkProfile
-  /** Changes to the default settings. */
+  /** Settings that override the defaults. */
   readonly settings?: Record<string, unknown>
   readonly teamKeyHash: string
-  /** Largest difference of a machine's wall clock from the true time. */
+  /** Width of the range of wall-clock skews: a machine differs from the true time by at most half of it. */
   readonly skewMs: number
-  /** Lets a test wrap an instance, for seeded mutations. */
+  /** Called with every new instance, so that a test can replace parts of it to seed a mutation. */
   readonly mutate?: (instance: Instance) => void
 }
 
-/** A call and what came of it. */
+/** A call with its answers and refusals; a correct run gives a call at most one of them. */
 export interface CallRecord {
   readonly callId: string
   readonly instance: InstanceId
@@ -57,8 +57,9 @@
   skewMs: number
   pausedUntil: number
   inbox: Input[]
-  life: number
-  left: boolean
+  /** Number of starts of this instance. Replies to an earlier generation are dropped. */
+  generation: number
+  hasLeft: boolean
   silenced: boolean
 }
 
@@ -70,10 +71,10 @@
   readonly skewMs: number
   alive: boolean
   listed: boolean
-  wakeAt: number
+  nextWakeMs: number
 }
 
-/** Counts of messages by purpose. */
+/** Number of messages by purpose, with the bytes between peers. */
 export interface MessageCounts {
   starts: number
   startAnswers: number
@@ -84,9 +85,9 @@
   storeCalls: number
 }
 
-const JOB_TYPES = new Set(['forward', 'forwardCheck', 'forwardCancel', 'forwardReturn', 'forwardAnswer', 'answerRequest', 'answerReply', 'claimRequest', 'claimVote', 'claimRelease'])
+const JOB_MESSAGE_TYPES = new Set(['forward', 'forwardCheck', 'forwardCancel', 'forwardReturn', 'forwardAnswer', 'answerRequest', 'answerReply', 'claimRequest', 'claimVote', 'claimRelease'])
 
-/** The fleet. */
+/** A fleet of instances and endpoints with one store. */
 export class MemoryFleet {
   readonly time = new Timeline()
   readonly random: Random
@@ -102,21 +103,21 @@
   storeDown = false
   storeSlowMs = 0
   loseStoreReplies = 0
-  /** Starts out of a thousand whose connection breaks after the request was sent. */
+  /** Starts, out of a thousand, whose connection breaks after the request was sent. */
   brokenStartsPerMille = 0
-  /** Longest extra delay of a start on its way. */
+  /** Largest extra delay of a start request. */
   startDelayMs = 0
-  /** Counting bytes costs time; only measurements of slopes turn it on. */
+  /** Turns on counting of bytes between peers. It costs time, so only measurements of slopes need it. */
   countsBytes = false
-  /** Told of every start that an endpoint accepts. */
+  /** Called after an endpoint accepted a start. */
   onStart: (endpoint: MemoryEndpoint, request: StartRequest) => void = () => {}
-  /** Told of every effect, before it is carried out. */
+  /** Called with every effect before it is executed. */
   onEffect: (node: MemoryNode, effect: Effect) => void = () => {}
-  private readonly byInstance = new Map<InstanceId, MemoryNode>()
-  private readonly byEndpoint = new Map<EndpointId, MemoryEndpoint>()
-  private watchers: { node: MemoryNode, life: number, after: number }[] = []
-  private readonly byCall = new Map<string, CallRecord>()
-  private counter = 0
+  private readonly nodesById = new Map<InstanceId, MemoryNode>()
+  private readonly endpointsById = new Map<EndpointId, MemoryEndpoint>()
+  private watchers: { node: MemoryNode, generation: number, after: number }[] = []
+  private readonly callsById = new Map<string, CallRecord>()
+  private callCount = 0
 
   constructor (readonly options: MemoryOptions) {
     this.random = seededRandom(options.seed)
@@ -137,13 +138,13 @@
     this.time.runUntil(this.time.now + durationMs)
   }
 
-  /** Starts an instance, as a new life if it lived before. */
+  /** Starts an instance as a new incarnation with a new generation. */
   start (node: MemoryNode): void {
-    node.life++
-    node.incarnation = WALL_START_MS + Math.floor(this.time.now) + node.life
+    node.generation++
+    node.incarnation = WALL_START_MS + Math.floor(this.time.now) + node.generation
     node.pausedUntil = 0
     node.inbox = []
-    node.left = false
+    node.hasLeft = false
     node.silenced = false
     node.core = new Instance({
       instance: node.id,
@@ -154,39 +155,39 @@
       seed: this.random.below(0x7fffffff)
     })
     this.options.mutate?.(node.core)
-    this.listFor(node)
-    this.tickLater(node, node.life, this.random.below(TICK_MS))
+    this.postInstanceList(node)
+    this.scheduleTick(node, node.generation, this.random.below(TICK_MS))
   }
 
-  /** Kills an instance at once. */
+  /** Kills an instance without a shutdown; its queued inputs are lost. */
   kill (node: MemoryNode): void {
     node.core = undefined
     node.inbox = []
   }
 
-  /** Freezes an instance; what arrives meanwhile waits. */
+  /** Freezes an instance. Inputs that arrive meanwhile wait until it resumes, except ticks. */
   pause (node: MemoryNode, durationMs: number): void {
     if (node.core === undefined || node.pausedUntil > this.time.now) return
     node.pausedUntil = this.time.now + durationMs
     this.time.after(durationMs, () => this.resume(node))
   }
 
-  /** Ends all cuts; connections across them break, as both sides then notice. */
+  /** Ends all cuts. Connections that crossed a cut break, and both sides get `linkDown`. */
   heal (): void {
-    const broken = this.nodes.flatMap(a => this.nodes.filter(b => !this.links.reaches(a.domain, b.domain)).map(b => [a, b] as const))
+    const cutPairs = this.nodes.flatMap(a => this.nodes.filter(b => !this.links.reaches(a.domain, b.domain)).map(b => [a, b] as const))
     this.links.heal()
-    for (const [a, b] of broken) {
+    for (const [a, b] of cutPairs) {
       this.post(a, { type: 'linkDown', peer: b.id })
       this.post(b, { type: 'linkDown', peer: a.id })
     }
   }
 
-  /** From now on nothing that an instance says reaches other instances or the store; it hears and works on. */
+  /** Drops everything that an instance sends to other instances and the store from now on. It still receives and works. */
   silence (node: MemoryNode): void {
     node.silenced = true
   }
 
-  /** Kills an endpoint with all that runs on it. */
+  /** Kills an endpoint and all tasks that run on it. */
   killEndpoint (endpoint: MemoryEndpoint): void {
     endpoint.alive = false
     endpoint.model.stop(endpoint.model.log.filter(e => e.endedAt === undefined).map(e => e.taskId), this.time.now)
@@ -194,37 +195,36 @@
 
   /** Submits a job. @returns the call's record */
   submit (node: MemoryNode, keyHash: string, customer: string, job: JobSpec): CallRecord {
-    const call: CallRecord = { callId: `call-${++this.counter}`, instance: node.id, job, customer, at: this.time.now, submissionId: undefined, answers: [], refusals: [] }
+    const call: CallRecord = { callId: `call-${++this.callCount}`, instance: node.id, job, customer, at: this.time.now, submissionId: undefined, answers: [], refusals: [] }
     this.calls.push(call)
-    this.byCall.set(call.callId, call)
+    this.callsById.set(call.callId, call)
     this.post(node, { type: 'submit', callId: call.callId, keyHash, job })
     return call
   }
 
   /** Cancels a call's submission. */
   cancel (node: MemoryNode, keyHash: string, call: CallRecord): void {
-    if (call.submissionId !== undefined) this.post(node, { type: 'cancel', callId: `cancel-${++this.counter}`, keyHash, submissionId: call.submissionId })
+    if (call.submissionId !== undefined) this.post(node, { type: 'cancel', callId: `cancel-${++this.callCount}`, keyHash, submissionId: call.submissionId })
   }
 
-  /** Hands an input to an instance, or keeps it while the instance is frozen. */
+  /** Passes an input to an instance and executes the effects, or queues the input while the instance is frozen. */
   post (node: MemoryNode, input: Input): void {
     if (node.core === undefined) return
     if (this.time.now < node.pausedUntil) {
       if (input.type !== 'tick') node.inbox.push(input)
       return
     }
-    const effects = node.core.handle(input, ms(this.time.now), ms(this.wall(node.skewMs)))
-    for (const effect of effects) this.carryOut(node, effect)
+    const effects = node.core.handle(input, ms(this.time.now), ms(this.wallClockMs(node.skewMs)))
+    for (const effect of effects) this.execute(node, effect)
   }
 
-  /** @returns the present fleet value in the store */
+  /** @returns the fleet value that the store holds now */
   storedFleet (): Fleet {
     return JSON.parse(this.store.get(FLEET_KEY)?.value ?? '{}') as Fleet
   }
 
-  /** @returns an instance by name */
   node (id: InstanceId): MemoryNode | undefined {
-    return this.byInstance.get(id)
+    return this.nodesById.get(id)
   }
 
   private build (): void {
@@ -238,41 +238,41 @@
   }
 
   private addNode (id: InstanceId, domain: FailureDomain): void {
-    const node: MemoryNode = { id, domain, core: undefined, incarnation: 0, skewMs: this.skew(), pausedUntil: 0, inbox: [], life: 0, left: false, silenced: false }
+    const node: MemoryNode = { id, domain, core: undefined, incarnation: 0, skewMs: this.drawSkewMs(), pausedUntil: 0, inbox: [], generation: 0, hasLeft: false, silenced: false }
     this.nodes.push(node)
-    this.byInstance.set(id, node)
+    this.nodesById.set(id, node)
   }
 
   private addEndpoint (id: EndpointId, domain: FailureDomain, size: EndpointSize): void {
-    const endpoint: MemoryEndpoint = { id, domain, model: new EndpointModel(size), skewMs: this.skew(), alive: true, listed: true, wakeAt: Infinity }
+    const endpoint: MemoryEndpoint = { id, domain, model: new EndpointModel(size), skewMs: this.drawSkewMs(), alive: true, listed: true, nextWakeMs: Infinity }
     this.endpoints.push(endpoint)
-    this.byEndpoint.set(id, endpoint)
+    this.endpointsById.set(id, endpoint)
   }
 
-  private skew (): number {
+  private drawSkewMs (): number {
     return (this.random.below(1001) / 1000 - 0.5) * this.options.skewMs
   }
 
-  private wall (skewMs: number): number {
+  private wallClockMs (skewMs: number): number {
     return WALL_START_MS + this.time.now + skewMs
   }
 
-  /** The platform's list reaches an instance at its start and then periodically. */
-  private listFor (node: MemoryNode): void {
-    const { life } = node
+  /** Posts the platform's list of endpoints and peers now and then periodically, as long as this generation lives. */
+  private postInstanceList (node: MemoryNode): void {
+    const { generation } = node
     const endpoints = this.endpoints.filter(e => e.listed).map(e => ({ id: e.id, failureDomain: e.domain, rack: 'rack', address: e.id, leaving: false, ...e.model.size }))
     const peers = this.nodes.map(n => ({ instance: n.id, address: n.id }))
     this.post(node, { type: 'instanceList', endpoints, peers })
     this.time.after(this.cfg.platform.listPeriodMs, () => {
-      if (node.core !== undefined && node.life === life) this.listFor(node)
+      if (node.core !== undefined && node.generation === generation) this.postInstanceList(node)
     })
   }
 
-  private tickLater (node: MemoryNode, life: number, delayMs: number): void {
+  private scheduleTick (node: MemoryNode, generation: number, delayMs: number): void {
     this.time.after(delayMs, () => {
-      if (node.life !== life || node.core === undefined) return
+      if (node.generation !== generation || node.core === undefined) return
       this.post(node, { type: 'tick' })
-      this.tickLater(node, life, TICK_MS)
+      this.scheduleTick(node, generation, TICK_MS)
     })
   }
 
@@ -284,7 +284,7 @@
     for (const input of waiting) this.post(node, input)
   }
 
-  private carryOut (node: MemoryNode, effect: Effect): void {
+  private execute (node: MemoryNode, effect: Effect): void {
     this.onEffect(node, effect)
     switch (effect.type) {
       case 'accepted': return this.noteAccepted(effect)
@@ -302,7 +302,7 @@
       case 'changeResult': return void this.changeResults.push({ callId: effect.callId, result: effect.result })
       case 'state':
         this.states.push({ instance: node.id, state: effect.name, at: this.time.now })
-        if (effect.name === 'drained') node.left = true
+        if (effect.name === 'drained') node.hasLeft = true
         return
       case 'pending':
       case 'log':
@@ -310,7 +310,7 @@
   }
 
   private callOf (callId: string): CallRecord | undefined {
-    return this.byCall.get(callId)
+    return this.callsById.get(callId)
   }
 
   private noteAccepted (effect: Extract<Effect, { type: 'accepted' }>): void {
@@ -319,61 +319,61 @@
   }
 
   private send (node: MemoryNode, effect: Extract<Effect, { type: 'send' }>): void {
-    if (JOB_TYPES.has(effect.message.type)) this.counts.peerJob++
+    if (JOB_MESSAGE_TYPES.has(effect.message.type)) this.counts.peerJob++
     else this.counts.peerControl++
     this.counts.peerBytes += this.countsBytes ? JSON.stringify(effect.message).length : 0
-    const to = this.byInstance.get(effect.to)
-    if (to === undefined || node.silenced || !this.links.reaches(node.domain, to.domain) || this.links.loses()) return
+    const to = this.nodesById.get(effect.to)
+    if (to === undefined || node.silenced || !this.links.reaches(node.domain, to.domain) || this.links.drawLoss()) return
     this.deliver(node, to, effect)
-    if (this.links.doubles()) this.deliver(node, to, effect)
+    if (this.links.drawDuplicate()) this.deliver(node, to, effect)
   }
 
   private deliver (node: MemoryNode, to: MemoryNode, effect: Extract<Effect, { type: 'send' }>): void {
-    const { life } = node
-    const target = to.life
+    const { generation } = node
+    const targetGeneration = to.generation
     this.time.after(this.links.delay(node.domain, to.domain), () => {
-      if (to.core !== undefined && to.life === target && !to.left) this.post(to, { type: 'peer', from: node.id, message: effect.message })
-      else if (node.life === life) this.time.after(1, () => this.postTo(node, life, { type: 'sendFailed', to: to.id, message: effect.message }))
+      if (to.core !== undefined && to.generation === targetGeneration && !to.hasLeft) this.post(to, { type: 'peer', from: node.id, message: effect.message })
+      else if (node.generation === generation) this.time.after(1, () => this.postToGeneration(node, generation, { type: 'sendFailed', to: to.id, message: effect.message }))
     })
   }
 
-  private postTo (node: MemoryNode, life: number, input: Input): void {
-    if (node.life === life) this.post(node, input)
+  private postToGeneration (node: MemoryNode, generation: number, input: Input): void {
+    if (node.generation === generation) this.post(node, input)
   }
 
   private startTask (node: MemoryNode, effect: Extract<Effect, { type: 'start' }>): void {
     this.counts.starts++
-    const endpoint = this.byEndpoint.get(effect.endpoint)
+    const endpoint = this.endpointsById.get(effect.endpoint)
     const { taskId } = effect.request
-    const { life } = node
+    const { generation } = node
     const report = (outcome: StartOutcome): void => {
       if (endpoint === undefined || !this.links.reaches(endpoint.domain, node.domain)) return
       this.counts.startAnswers++
       const delay = this.links.delay(endpoint.domain, node.domain)
-      this.time.after(delay, () => this.postTo(node, life, { type: 'startOutcome', taskId, endpoint: effect.endpoint, outcome }))
+      this.time.after(delay, () => this.postToGeneration(node, generation, { type: 'startOutcome', taskId, endpoint: effect.endpoint, outcome }))
     }
     if (endpoint === undefined || !this.links.reaches(node.domain, endpoint.domain)) return
     const broken = this.random.below(1000) < this.brokenStartsPerMille
-    const extra = this.startDelayMs > 0 ? this.random.below(this.startDelayMs) : 0
-    if (broken) this.time.after(extra + 2, () => report({ type: 'unknown' }))
-    this.time.after(this.links.delay(node.domain, endpoint.domain) + extra, () => this.arrive(endpoint, effect, broken ? () => {} : report))
+    const extraMs = this.startDelayMs > 0 ? this.random.below(this.startDelayMs) : 0
+    if (broken) this.time.after(extraMs + 2, () => report({ type: 'unknown' }))
+    this.time.after(this.links.delay(node.domain, endpoint.domain) + extraMs, () => this.startAtEndpoint(endpoint, effect, broken ? () => {} : report))
   }
 
-  private arrive (endpoint: MemoryEndpoint, effect: Extract<Effect, { type: 'start' }>, report: (outcome: StartOutcome) => void): void {
+  private startAtEndpoint (endpoint: MemoryEndpoint, effect: Extract<Effect, { type: 'start' }>, report: (outcome: StartOutcome) => void): void {
     if (!endpoint.alive) return report({ type: 'notSent' })
     const before = endpoint.model.log.length
     endpoint.model.advance(this.time.now)
-    endpoint.model.start(effect.request, this.time.now, this.wall(endpoint.skewMs), outcome => report(knownAsUnknown(outcome)))
+    endpoint.model.start(effect.request, this.time.now, this.wallClockMs(endpoint.skewMs), outcome => report(withoutKnownReason(outcome)))
     if (endpoint.model.log.length > before) this.onStart(endpoint, effect.request)
     this.wakeEndpoint(endpoint)
   }
 
   private wakeEndpoint (endpoint: MemoryEndpoint): void {
     const next = endpoint.model.nextEventAt()
-    if (next === undefined || next === Infinity || next >= endpoint.wakeAt) return
-    endpoint.wakeAt = next
+    if (next === undefined || next === Infinity || next >= endpoint.nextWakeMs) return
+    endpoint.nextWakeMs = next
     this.time.after(next - this.time.now, () => {
-      endpoint.wakeAt = Infinity
+      endpoint.nextWakeMs = Infinity
       endpoint.model.advance(this.time.now)
       this.wakeEndpoint(endpoint)
     })
@@ -381,65 +381,65 @@
 
   private renew (node: MemoryNode, effect: Extract<Effect, { type: 'renew' }>): void {
     const { endpoint: id, tasks, notAfter } = effect
-    this.control(node, effect.endpoint, (endpoint) => {
-      endpoint.model.renew(tasks, this.time.now, this.wall(endpoint.skewMs), notAfter)
+    this.callEndpoint(node, effect.endpoint, (endpoint) => {
+      endpoint.model.renew(tasks, this.time.now, this.wallClockMs(endpoint.skewMs), notAfter)
       this.wakeEndpoint(endpoint)
       return { type: 'renewOutcome', endpoint: id, tasks, renewed: true }
     })
   }
 
   private stopTasks (node: MemoryNode, effect: Extract<Effect, { type: 'stop' }>): void {
-    this.control(node, effect.endpoint, (endpoint) => {
+    this.callEndpoint(node, effect.endpoint, (endpoint) => {
       endpoint.model.stop(effect.tasks, this.time.now)
       return undefined
     })
   }
 
   private probe (node: MemoryNode, effect: Extract<Effect, { type: 'probe' }>): void {
-    const { life } = node
-    const endpoint = this.byEndpoint.get(effect.endpoint)
+    const { generation } = node
+    const endpoint = this.endpointsById.get(effect.endpoint)
     const reached = endpoint !== undefined && endpoint.alive && this.links.reaches(node.domain, endpoint.domain) && this.links.reaches(endpoint.domain, node.domain)
     this.counts.endpointControl++
-    this.time.after(reached ? 3 : 1000, () => this.postTo(node, life, { type: 'probeOutcome', endpoint: effect.endpoint, healthy: reached }))
+    this.time.after(reached ? 3 : 1000, () => this.postToGeneration(node, generation, { type: 'probeOutcome', endpoint: effect.endpoint, healthy: reached }))
   }
 
-  private control (node: MemoryNode, id: EndpointId, act: (endpoint: MemoryEndpoint) => Input | undefined): void {
+  private callEndpoint (node: MemoryNode, id: EndpointId, operation: (endpoint: MemoryEndpoint) => Input | undefined): void {
     this.counts.endpointControl++
-    const endpoint = this.byEndpoint.get(id)
-    const { life } = node
+    const endpoint = this.endpointsById.get(id)
+    const { generation } = node
     if (endpoint === undefined || !endpoint.alive || !this.links.reaches(node.domain, endpoint.domain)) return
     this.time.after(this.links.delay(node.domain, endpoint.domain), () => {
       endpoint.model.advance(this.time.now)
-      const reply = act(endpoint)
+      const reply = operation(endpoint)
       if (reply === undefined || !this.links.reaches(endpoint.domain, node.domain)) return
-      this.time.after(this.links.delay(endpoint.domain, node.domain), () => this.postTo(node, life, reply))
+      this.time.after(this.links.delay(endpoint.domain, node.domain), () => this.postToGeneration(node, generation, reply))
     })
   }
 
-  private storeCall (node: MemoryNode, failure: Input, act: () => Input | undefined): void {
+  private storeCall (node: MemoryNode, failure: Input, operation: () => Input | undefined): void {
     this.counts.storeCalls++
-    const { life } = node
+    const { generation } = node
     const down = this.storeDown || node.silenced || !this.links.reaches(node.domain, PLATFORM) || !this.links.reaches(PLATFORM, node.domain)
-    const delay = STORE_MS + this.storeSlowMs + this.random.below(4)
+    const delay = STORE_LATENCY_MS + this.storeSlowMs + this.random.below(4)
     this.time.after(delay, () => {
-      const input = down ? failure : act()
-      if (input !== undefined) this.time.after(1, () => this.postTo(node, life, input))
+      const input = down ? failure : operation()
+      if (input !== undefined) this.time.after(1, () => this.postToGeneration(node, generation, input))
     })
   }
 
   private storeRead (node: MemoryNode): void {
-    this.storeCall(node, { type: 'storeFailed', operation: 'read' }, () => this.storeValue('read'))
+    this.storeCall(node, { type: 'storeFailed', operation: 'read' }, () => this.storeValueInput('read'))
   }
 
-  private storeValue (source: 'read' | 'watch'): Input {
+  private storeValueInput (source: 'read' | 'watch'): Input {
     const stored = this.store.get(FLEET_KEY)
     return { type: 'storeValue', source, revision: stored?.revision ?? 0, fleet: JSON.parse(stored?.value ?? JSON.stringify(EMPTY_FLEET)) as Fleet }
   }
 
   private storeWatch (node: MemoryNode, after: number): void {
     this.storeCall(node, { type: 'storeFailed', operation: 'watch' }, () => {
-      if ((this.store.get(FLEET_KEY)?.revision ?? 0) > after) return this.storeValue('watch')
-      const watcher = { node, life: node.life, after }
+      if ((this.store.get(FLEET_KEY)?.revision ?? 0) > after) return this.storeValueInput('watch')
+      const watcher = { node, generation: node.generation, after }
       this.watchers.push(watcher)
       this.time.after(this.cfg.platform.watchWaitMs, () => this.endWatch(watcher, this.storeDown ? { type: 'storeFailed', operation: 'watch' } : { type: 'storeUnchanged' }))
       return undefined
@@ -449,13 +449,13 @@
   private endWatch (watcher: MemoryFleet['watchers'][number], input: Input): void {
     if (!this.watchers.includes(watcher)) return
     this.watchers = this.watchers.filter(w => w !== watcher)
-    this.postTo(watcher.node, watcher.life, input)
+    this.postToGeneration(watcher.node, watcher.generation, input)
   }
 
   private wakeWatchers (): void {
     for (const w of [...this.watchers]) {
       const reached = !this.storeDown && this.links.reaches(PLATFORM, w.node.domain)
-      this.time.after(1, () => this.endWatch(w, reached ? this.storeValue('watch') : { type: 'storeFailed', operation: 'watch' }))
+      this.time.after(1, () => this.endWatch(w, reached ? this.storeValueInput('watch') : { type: 'storeFailed', operation: 'watch' }))
     }
   }
 
@@ -486,7 +486,7 @@
   return { ...EMPTY_FLEET, version: 1, contracts: contracts.map(contract => ({ revision: 1, contract })) }
 }
 
-/** A repeated start says only that the task ran or runs. */
-function knownAsUnknown (outcome: StartOutcome): StartOutcome {
+/** Turns the refusal of a repeated start into `unknown`: it says only that the task ran or still runs. */
+function withoutKnownReason (outcome: StartOutcome): StartOutcome {
   return outcome.type === 'refused' && outcome.reason === 'known' ? { type: 'unknown' } : outcome
 }
--- a/packages/bench/src/memory/timeline.ts
+++ b/packages/bench/src/memory/timeline.ts
@@ -1,5 +1,6 @@
 /**
- * Virtual time: events in order, nothing in between. The injected clock of in-memory runs.
+ * Virtual clock of in-memory runs. Time jumps from one scheduled event to the next, and events of the same time run in
+ * the order in which they were scheduled, so that a run is deterministic and takes no real waiting time.
  */
 import TinyQueue from 'tinyqueue'
 
@@ -9,7 +10,7 @@
   readonly run: () => void
 }
 
-/** A queue of events on virtual time in milliseconds. */
+/** A queue of events with the present virtual time in milliseconds. */
 export class Timeline {
   now = 0
   private order = 0
@@ -17,14 +18,14 @@
 
   /**
    * Schedules an event.
-   * @param delayMs - time from now
-   * @param run - what happens
+   * @param delayMs - delay from now; a negative delay counts as zero
+   * @param run - called when the time is reached
    */
   after (delayMs: number, run: () => void): void {
     this.queue.push({ at: this.now + Math.max(0, delayMs), order: this.order++, run })
   }
 
-  /** Runs all events up to a time. */
+  /** Runs all events up to and including a time, then sets the clock to it. */
   runUntil (until: number): void {
     for (;;) {
       const next = this.queue.peek()
--- a/packages/bench/src/memory/workload.ts
+++ b/packages/bench/src/memory/workload.ts
@@ -1,14 +1,15 @@
 /**
- * Contracts and jobs for in-memory runs and measurements.
+ * Creates contracts and jobs for in-memory runs and measurements. Payloads name their customer and request and the expected
+ * result, so that the oracle can check starts and answers without other state.
  */
 import type { Random } from '@cranberryyard/core'
 import { contractSchema, jobSchema } from '@cranberryyard/protocol'
 import type { Contract, JobSpec } from '@cranberryyard/protocol'
 
 /**
- * Makes the key hash of a customer in tests.
+ * Derives the key hash of a customer in tests from its name.
  * @param customer - the customer's name
- * @returns a well-formed hash
+ * @returns a hash of valid form that belongs to no real key
  */
 export const testKeyHash = (customer: string): string => `sha256:${Buffer.from(customer).toString('hex').padEnd(64, '0').slice(0, 64)}`
 
@@ -16,11 +17,11 @@
 export const TEAM_KEY_HASH = testKeyHash('the-team')
 
 /**
- * Makes a contract for tests.
- * @param customer - its name
- * @param running - tasks that may run at once
- * @param weight - share under contention
- * @returns a checked contract with an idempotent kind `compute` and a non-idempotent kind `serial`
+ * Creates a contract for tests.
+ * @param customer - name of the customer
+ * @param running - limit on tasks that run at the same time
+ * @param weight - weight of the customer under contention
+ * @returns a validated contract with an idempotent kind `compute` and a non-idempotent kind `serial`
  */
 export function testContract (customer: string, running: number, weight = 1): Contract {
   return contractSchema.parse({
@@ -38,13 +39,13 @@
 }
 
 /**
- * Makes a job whose payloads say whose they are, for the oracle.
- * @param customer - whose job
- * @param requestId - the caller's id
+ * Creates a job whose payloads name their customer and request, for the oracle.
+ * @param customer - customer that submits the job
+ * @param requestId - request id of the caller
  * @param kind - `compute` or `serial`
- * @param runTimes - true run time of each task in milliseconds
- * @param declaredMs - declared run time, if any
- * @returns a checked job
+ * @param runTimes - actual run time of each task in milliseconds
+ * @param declaredMs - run time that the job declares for each task, if any
+ * @returns a validated job
  */
 export function testJob (customer: string, requestId: string, kind: string, runTimes: readonly number[], declaredMs?: number): JobSpec {
   const declared = declaredMs === undefined ? {} : { runMs: declaredMs }
@@ -52,7 +53,7 @@
 }
 
 /**
- * Names the one right result of a task.
+ * Gives the expected result of a task.
  * @param requestId - the caller's id
  * @param index - position in the job
  * @returns the result
@@ -60,9 +61,9 @@
 export const resultOf = (requestId: string, index: number): string => `${requestId}:${index}`
 
 /**
- * Draws run times between 50 ms and a second, most of them short.
- * @param random - the source
- * @param count - how many
+ * Draws run times between 50 ms and one second, spread evenly on a logarithmic scale, so that short ones are more frequent.
+ * @param random - source of random numbers
+ * @param count - number of run times
  * @returns run times in milliseconds
  */
 export function drawRunTimes (random: Random, count: number): number[] {
