--- a/packages/bench/src/processes/caller.ts
+++ b/packages/bench/src/processes/caller.ts
@@ -1,10 +1,11 @@
 /**
- * A caller that loads entry instances over HTTP and keeps what it was told.
+ * Submits jobs to entry instances over HTTP and records how each call ended. It makes one attempt per submission and never
+ * retries, so that a test sees every connection that ended without an answer.
  */
 import type { Answer } from '@cranberryyard/protocol'
 import { Agent, request } from 'undici'
 
-/** One call and its end. */
+/** A finished call. Times come from `performance.now()`. */
 export interface CallEnd {
   readonly requestId: string
   readonly startedAt: number
@@ -13,21 +14,21 @@
   readonly answer: Answer | undefined
 }
 
-/** What to submit. */
+/** A job to submit, with one task for each run time in milliseconds. */
 export interface CallJob {
   readonly requestId: string
   readonly kind: string
   readonly runTimes: readonly number[]
 }
 
-/** Sends jobs and collects answers. */
+/** Submits jobs with the key of one customer and collects the finished calls. */
 export class Caller {
   readonly ends: CallEnd[] = []
   private readonly agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
 
   constructor (private readonly key: string, private readonly customer: string) {}
 
-  /** Submits a job and waits for its end. */
+  /** Submits a job and waits until the call ends. */
   async submit (url: string, job: CallJob): Promise<CallEnd> {
     const tasks = job.runTimes.map((runMs, i) => ({ payload: { runMs, value: `${job.requestId}:${i}`, customer: this.customer, requestId: job.requestId, kind: job.kind } }))
     const startedAt = performance.now()
@@ -37,7 +38,7 @@
     return end
   }
 
-  /** Closes connections. */
+  /** Closes the connections; open calls end without an answer. */
   async close (): Promise<void> {
     await this.agent.destroy()
   }
--- a/packages/bench/src/processes/localFleet.ts
+++ b/packages/bench/src/processes/localFleet.ts
@@ -1,6 +1,7 @@
 /**
- * A whole deployment on loopback from real processes: platform and endpoint stand-ins in this process, entry
- * instances as daemons started from the built binary, every link between them optionally behind a fault proxy.
+ * Runs a complete deployment on the loopback interface. Entry instances are daemons in processes of their own, started from
+ * the built program; stand-ins for platform and endpoints run in this process. On request every link goes through a fault
+ * proxy, which can cut or reset it.
  */
 import { EndpointFake, FaultProxy, PlatformFake, PortRange } from '@cranberryyard/fakes'
 import { hashKey } from '@cranberryyard/dispatcher'
@@ -16,7 +17,7 @@
 
 const DAEMON = fileURLToPath(import.meta.resolve('@cranberryyard/dispatcher')).replace(/index\.js$/, 'main.js')
 
-/** Shape of a local deployment. */
+/** Size, contracts and settings of a local deployment. */
 export interface LocalOptions {
   /** Folder for settings and logs. */
   readonly folder: string
@@ -29,14 +30,14 @@
   /** Puts every link between instances, and to endpoints and platform, behind a fault proxy. */
   readonly proxied: boolean
   readonly settings?: Record<string, Record<string, unknown>>
-  /** Endpoints that are only listed, with nothing behind them, to measure what a listing costs. */
+  /** Number of endpoints that the platform lists though nothing serves them, to measure the cost of a longer list. */
   readonly listedEndpoints?: number
-  /** First port; without it, free ports are looked for. */
+  /** First of the ports to use, counted upwards. Without it, the deployment takes any free ports. */
   readonly basePort?: number
   readonly keepsLog?: boolean
 }
 
-/** One daemon. */
+/** An entry instance that runs as a daemon. */
 export interface LocalInstance {
   readonly id: InstanceId
   readonly domain: string
@@ -44,7 +45,7 @@
   readonly operatorUrl: string
   readonly settingsFile: string
   process: ChildProcess | undefined
-  /** Exit code of the last life, once it has ended. */
+  /** Exit code of the last started process, once it has ended; null after a signal. */
   exited: Promise<number | null>
 }
 
@@ -64,15 +65,15 @@
 interface ProxiedLink {
   readonly from: string
   readonly to: string
-  /** Instance that connects over the link; empty for a domain's shared links. */
+  /** Instance that connects over the link; empty for a link that all instances of a domain share. */
   readonly owner: string
   readonly proxy: FaultProxy
 }
 
-/** Name of the platform in links. */
+/** Name of the platform as the target of a link. */
 export const PLATFORM_DOMAIN = 'platform'
 
-/** The deployment. */
+/** A deployment with its daemons, stand-ins and links. */
 export class LocalFleet {
   readonly platform = new PlatformFake()
   readonly instances: LocalInstance[] = []
@@ -81,32 +82,32 @@
   private readonly ports = new Map<string, Ports>()
   private platformPort = 0
   private readonly freePorts = new PortRange()
-  /** Next port where the options name the first; undefined where any free one will do. */
+  /** Next port when the options name the first one; otherwise undefined. */
   private nextPort: number | undefined
 
   constructor (private readonly options: LocalOptions) {
     this.nextPort = options.basePort
   }
 
-  /** Folder of settings and logs. */
+  /** Folder for the settings and logs of the instances. */
   get folder (): string {
     return this.options.folder
   }
 
-  /** Starts stand-ins and daemons. */
+  /** Starts the stand-ins, writes the settings, and launches every daemon without waiting for it. */
   async start (): Promise<void> {
     mkdirSync(this.options.folder, { recursive: true })
-    this.platformPort = await this.platform.listen(await this.port())
+    this.platformPort = await this.platform.listen(await this.allocatePort())
     const fleet = { ...EMPTY_FLEET, version: 1, contracts: this.options.contracts.map(contract => ({ revision: 1, contract })) }
     this.platform.store.write('fleet', JSON.stringify(fleet), 0)
     for (const domain of this.options.domains) await this.startEndpoints(domain)
-    this.listMore(this.options.listedEndpoints ?? 0)
+    this.listUnservedEndpoints(this.options.listedEndpoints ?? 0)
     for (const domain of this.options.domains) await this.prepareInstances(domain)
     await this.writeSettings()
     for (const instance of this.instances) this.launch(instance)
   }
 
-  /** Starts a daemon, as a new life. */
+  /** Starts the process of an instance, also after an earlier process ended. Logs are appended. */
   launch (instance: LocalInstance): void {
     const log = openSync(join(this.options.folder, `${instance.id}.log`), 'a')
     const child = spawn(process.execPath, [DAEMON, '--settings', instance.settingsFile], { stdio: ['ignore', log, log] })
@@ -114,17 +115,17 @@
     instance.exited = new Promise(resolve => child.once('exit', code => resolve(code)))
   }
 
-  /** Waits until an instance says that it is serving. */
+  /** Waits until the health page of an instance reports that it serves. */
   async waitServing (instance: LocalInstance, timeoutMs = 20_000): Promise<void> {
     const until = Date.now() + timeoutMs
     while (Date.now() < until) {
       if (await isServing(instance)) return
       await sleep(50)
     }
-    throw new Error(`${instance.id} does not serve after ${timeoutMs} ms`)
+    throw new Error(`instance ${instance.id} is not serving after ${timeoutMs} ms`)
   }
 
-  /** Waits until every instance serves and is on the roster. */
+  /** Waits until every instance serves, then up to 20 s until the stored roster of claim voters has them all, then 1.5 s more. */
   async waitReady (): Promise<void> {
     for (const instance of this.instances) await this.waitServing(instance)
     const until = Date.now() + 20_000
@@ -136,9 +137,9 @@
     await sleep(1500)
   }
 
-  /** Cuts a domain off from the others, and from the platform if asked. */
+  /** Cuts the links between a failure domain and the others, and those to the platform if `fromPlatform` is set. */
   cutDomain (domain: string, fromPlatform: boolean): void {
-    for (const link of this.links) if (this.concerns(link, domain, fromPlatform)) link.proxy.cut()
+    for (const link of this.links) if (this.crossesCut(link, domain, fromPlatform)) link.proxy.cut()
   }
 
   /** Ends all cuts. */
@@ -146,17 +147,17 @@
     for (const { proxy } of this.links) if (proxy.faults.cutForward || proxy.faults.cutBackward) proxy.heal()
   }
 
-  /** Resets every connection between instances. */
+  /** Resets every connection that runs through a proxy. */
   resetLinks (): void {
     for (const { proxy } of this.links) proxy.reset()
   }
 
-  /** @returns bytes on links that an instance opened to its peers, both directions */
+  /** @returns bytes in both directions on the proxied links that an instance opened to its peers */
   peerBytes (instance: LocalInstance): number {
     return this.links.filter(l => l.owner === instance.id && l.to !== PLATFORM_DOMAIN).reduce((sum, l) => sum + l.proxy.bytes, 0)
   }
 
-  /** Ends everything. */
+  /** Kills the daemons and closes stand-ins and proxies. */
   async stop (): Promise<void> {
     for (const { process: child } of this.instances) child?.kill('SIGKILL')
     await Promise.all(this.instances.map(i => i.exited))
@@ -165,7 +166,7 @@
     await this.platform.close()
   }
 
-  private concerns (link: ProxiedLink, domain: string, fromPlatform: boolean): boolean {
+  private crossesCut (link: ProxiedLink, domain: string, fromPlatform: boolean): boolean {
     if (link.from === link.to) return false
     if (link.to === PLATFORM_DOMAIN) return fromPlatform && link.from === domain
     return link.from === domain || link.to === domain
@@ -175,7 +176,7 @@
     for (let i = 0; i < this.options.endpointsPerDomain; i++) {
       const size = { slots: this.options.slots, cores: 32, memoryMb: 131_072, accelerators: 0 }
       const fake = new EndpointFake(size, this.options.keepsLog ?? true)
-      const port = await fake.listen(await this.port())
+      const port = await fake.listen(await this.allocatePort())
       const id = `endpoint-${domain}-${i + 1}` as EndpointId
       this.endpoints.push({ id, domain, fake })
       const rack = `rack-${domain}-${Math.floor(i / 8) + 1}`
@@ -183,7 +184,7 @@
     }
   }
 
-  private listMore (count: number): void {
+  private listUnservedEndpoints (count: number): void {
     const { domains } = this.options
     for (let i = 0; i < count; i++) {
       const failureDomain = (domains[i % domains.length] ?? '') as FailureDomain
@@ -195,7 +196,7 @@
   private async prepareInstances (domain: string): Promise<void> {
     for (let i = 0; i < this.options.instancesPerDomain; i++) {
       const id = `entry-${domain}-${i + 1}` as InstanceId
-      const ports = { caller: await this.port(), operator: await this.port(), peer: await this.port() }
+      const ports = { caller: await this.allocatePort(), operator: await this.allocatePort(), peer: await this.allocatePort() }
       this.ports.set(id, ports)
       this.instances.push({
         id,
@@ -209,7 +210,7 @@
     }
   }
 
-  private async port (): Promise<number> {
+  private async allocatePort (): Promise<number> {
     return this.nextPort === undefined ? this.freePorts.next() : this.nextPort++
   }
 
@@ -218,7 +219,7 @@
       const ports = this.ports.get(instance.id)
       if (ports === undefined) continue
       const peers = await this.peersOf(instance)
-      const platform = await this.linkTo(instance.domain, PLATFORM_DOMAIN, this.platformPort, instance.id)
+      const platform = await this.openLink(instance.domain, PLATFORM_DOMAIN, this.platformPort, instance.id)
       const settings = {
         instance: { id: instance.id, failureDomain: instance.domain },
         listen: { callerPort: ports.caller, operatorPort: ports.operator, peerPort: ports.peer },
@@ -239,34 +240,34 @@
     const others = this.instances.filter(i => i.id !== instance.id)
     return Promise.all(others.map(async (other) => {
       const port = this.ports.get(other.id)?.peer ?? 0
-      return { id: other.id, address: `127.0.0.1:${await this.linkTo(instance.domain, other.domain, port, instance.id)}` }
+      return { id: other.id, address: `127.0.0.1:${await this.openLink(instance.domain, other.domain, port, instance.id)}` }
     }))
   }
 
-  /** @returns the port to use for a link: the target's own, or that of a proxy in front of it */
-  private async linkTo (from: string, to: string, targetPort: number, owner = ''): Promise<number> {
+  /** @returns the port to connect to: the target's own, or that of a new proxy in front of it */
+  private async openLink (from: string, to: string, targetPort: number, owner = ''): Promise<number> {
     if (!this.options.proxied) return targetPort
     const proxy = new FaultProxy(targetPort)
     this.links.push({ from, to, owner, proxy })
     return proxy.listen()
   }
 
-  /** Each domain reaches each endpoint over a link of its own, so that cuts hit endpoints too. */
+  /** Gives each failure domain its own link to each endpoint, so that a cut between domains affects endpoints too. */
   private async proxyEndpoints (): Promise<void> {
-    const views = new Map<string, EndpointInfo[]>()
+    const endpointsByDomain = new Map<string, EndpointInfo[]>()
     for (const domain of this.options.domains) {
-      views.set(domain, await Promise.all(this.platform.endpoints.map(info => this.proxiedEndpoint(domain, info))))
+      endpointsByDomain.set(domain, await Promise.all(this.platform.endpoints.map(info => this.proxiedEndpoint(domain, info))))
     }
-    this.platform.endpointsFrom = domain => (views.get(domain) ?? []).filter(e => this.platform.endpoints.some(p => p.id === e.id))
+    this.platform.endpointsFrom = domain => (endpointsByDomain.get(domain) ?? []).filter(e => this.platform.endpoints.some(p => p.id === e.id))
   }
 
   private async proxiedEndpoint (from: string, info: EndpointInfo): Promise<EndpointInfo> {
     const port = Number(info.address.split(':')[1])
-    return { ...info, address: `127.0.0.1:${await this.linkTo(from, info.failureDomain, port)}` }
+    return { ...info, address: `127.0.0.1:${await this.openLink(from, info.failureDomain, port)}` }
   }
 }
 
-/** @returns true when the instance's health page says so */
+/** @returns true when the health page answers with status 200 */
 export async function isServing (instance: LocalInstance): Promise<boolean> {
   try {
     const res = await fetch(`${instance.callerUrl}/healthz`)
@@ -277,7 +278,6 @@
   }
 }
 
-/** Waits. */
 export function sleep (ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/bench/src/processes/procStat.ts
+++ b/packages/bench/src/processes/procStat.ts
@@ -1,24 +1,25 @@
 /**
- * Processor time and resident memory of a process, from /proc.
+ * Reads processor time and resident memory of a process from `/proc/PID/stat` on Linux. The field numbers count from the
+ * field after the command name, which may contain spaces and parentheses.
  */
 import { readFileSync } from 'node:fs'
 
-/** Clock ticks a second, as Linux reports times in /proc. */
+/** Clock ticks per second in the times that Linux reports in /proc. */
 const TICKS_PER_SECOND = 100
 const PAGE_BYTES = 4096
 const UTIME_FIELD = 11
 const STIME_FIELD = 12
 const RSS_FIELD = 21
 
-/** What a process has used. */
+/** Resource usage of a process. */
 export interface ProcessUsage {
   readonly cpuSeconds: number
   readonly residentMb: number
 }
 
 /**
- * Reads a process's usage.
- * @param pid - a process
+ * Reads the resource usage of a process.
+ * @param pid - id of a running process
  * @returns processor time since its start and resident memory now
  */
 export function usageOf (pid: number): ProcessUsage {
--- a/packages/bench/src/processes/processes.spec.ts
+++ b/packages/bench/src/processes/processes.spec.ts
@@ -11,7 +11,7 @@
 import type { CallJob } from './caller.js'
 import { LocalFleet, isServing, sleep } from './localFleet.js'
 import type { LocalInstance, LocalOptions } from './localFleet.js'
-import { doubledRequests, doubledStarts, overshoot, untrueAnswers } from './proof.js'
+import { limitOverruns, repeatedRequests, repeatedStarts, wrongAnswers } from './proof.js'
 
 const KEY = 'caller-key'
 const TEAM_KEY = 'team-key'
@@ -51,68 +51,67 @@
   }
 }
 
-/** Loads instances for a while; the requests are the same for the same seed. */
+/** Submits jobs at a steady rate. The same seed gives the same sequence of requests. */
 class Load {
   readonly caller = new Caller(KEY, 'load')
-  readonly sizes = new Map<string, number>()
+  readonly taskCounts = new Map<string, number>()
   private readonly random
-  private readonly open: Promise<unknown>[] = []
-  private counter = 0
+  private readonly openCalls: Promise<unknown>[] = []
+  private jobCount = 0
   private stopped = false
 
   constructor (private readonly fleet: LocalFleet, seed: number) {
     this.random = seededRandom(seed)
   }
 
-  /** Submits at a steady pace until stopped. */
+  /** Submits a job to one of the targets every `gapMs` milliseconds until `end` is called. */
   async run (gapMs: number, targets: () => LocalInstance[]): Promise<void> {
     while (!this.stopped) {
-      const open = targets()
-      const instance = open[this.random.below(open.length)]
-      if (instance !== undefined) this.open.push(this.caller.submit(instance.callerUrl, this.nextJob()))
+      const candidates = targets()
+      const instance = candidates[this.random.below(candidates.length)]
+      if (instance !== undefined) this.openCalls.push(this.caller.submit(instance.callerUrl, this.nextJob()))
       await sleep(gapMs)
     }
   }
 
-  /** Submits one job of a request id again somewhere else. */
+  /** Submits a serial request again under its request id, at another instance. */
   resubmit (instance: LocalInstance, requestId: string): void {
-    const count = this.sizes.get(requestId) ?? 1
-    this.open.push(this.caller.submit(instance.callerUrl, { requestId, kind: 'serial', runTimes: new Array<number>(count).fill(200) }))
+    const count = this.taskCounts.get(requestId) ?? 1
+    this.openCalls.push(this.caller.submit(instance.callerUrl, { requestId, kind: 'serial', runTimes: new Array<number>(count).fill(200) }))
   }
 
-  /** Ends the load and waits for every call to end. */
+  /** Stops submitting and waits until every call has ended. */
   async end (): Promise<void> {
     this.stopped = true
-    await Promise.all(this.open)
+    await Promise.all(this.openCalls)
     await this.caller.close()
   }
 
-  /** @returns ids of serial requests so far */
-  serials (): string[] {
-    return [...this.sizes.keys()].filter(id => id.startsWith('serial'))
+  serialRequestIds (): string[] {
+    return [...this.taskCounts.keys()].filter(id => id.startsWith('serial'))
   }
 
   findings (): string[] {
     return [
-      ...doubledStarts(this.fleet),
-      ...doubledRequests(this.fleet, 'serial'),
-      ...overshoot(this.fleet, 'load', LIMIT),
-      ...untrueAnswers(this.fleet, this.caller.ends, this.sizes)
+      ...repeatedStarts(this.fleet),
+      ...repeatedRequests(this.fleet, 'serial'),
+      ...limitOverruns(this.fleet, 'load', LIMIT),
+      ...wrongAnswers(this.fleet, this.caller.ends, this.taskCounts)
     ]
   }
 
   private nextJob (): CallJob {
     const kind = this.random.below(4) === 0 ? 'serial' : 'compute'
-    const requestId = `${kind}-${this.counter++}`
+    const requestId = `${kind}-${this.jobCount++}`
     const count = 1 + this.random.below(12)
-    this.sizes.set(requestId, count)
+    this.taskCounts.set(requestId, count)
     return { requestId, kind, runTimes: Array.from({ length: count }, () => 50 + this.random.below(400)) }
   }
 }
 
-function at<T> (list: readonly T[], i: number): T {
+function itemAt<T> (list: readonly T[], i: number): T {
   const item = list[i]
-  if (item === undefined) throw new Error(`no item ${i}`)
+  if (item === undefined) throw new Error(`no item with index ${i}: the list has ${list.length}`)
   return item
 }
 
@@ -126,9 +125,9 @@
     })
     after(() => fleet.stop())
 
-    it('loses no answer when an instance is told to stop under load', async () => {
+    it('loses no answer when an instance gets SIGTERM under load', async () => {
       const load = new Load(fleet, 1)
-      const leaving = at(fleet.instances, 0)
+      const leaving = itemAt(fleet.instances, 0)
       let announced = false
       const running = load.run(50, () => fleet.instances.filter(i => !announced || i !== leaving))
       await sleep(1500)
@@ -146,8 +145,8 @@
       await fleet.waitServing(leaving)
     })
 
-    it('answers bad input with a numbered code and goes on serving others', async () => {
-      const { callerUrl } = at(fleet.instances, 1)
+    it('answers invalid requests with a numbered code and keeps serving other callers', async () => {
+      const { callerUrl } = itemAt(fleet.instances, 1)
       const load = new Load(fleet, 2)
       const running = load.run(30, () => fleet.instances)
       const post = async (body: string, key = KEY): Promise<{ code: number, field?: string }> => {
@@ -168,7 +167,7 @@
     })
 
     it('disconnects a sender that does not finish its request', async () => {
-      const url = new URL(at(fleet.instances, 1).callerUrl)
+      const url = new URL(itemAt(fleet.instances, 1).callerUrl)
       const socket = connect(Number(url.port), url.hostname)
       socket.write('POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{')
       const text = await new Promise<string>((resolve) => {
@@ -193,7 +192,7 @@
       const load = new Load(fleet, 3)
       const running = load.run(35, () => fleet.instances)
       await sleep(1500)
-      const [first, second, third] = [at(fleet.instances, 0), at(fleet.instances, 3), at(fleet.instances, 7)]
+      const [first, second, third] = [itemAt(fleet.instances, 0), itemAt(fleet.instances, 3), itemAt(fleet.instances, 7)]
       first.process?.kill('SIGKILL')
       await sleep(1000)
       fleet.platform.faults.loseReplies = 1
@@ -205,7 +204,7 @@
       await sleep(1000)
       fleet.cutDomain('three', true)
       await sleep(3500)
-      for (const id of load.serials().slice(-20)) load.resubmit(at(fleet.instances, 4), id)
+      for (const id of load.serialRequestIds().slice(-20)) load.resubmit(itemAt(fleet.instances, 4), id)
       third.process?.kill('SIGKILL')
       await sleep(500)
       fleet.heal()
@@ -213,7 +212,7 @@
       fleet.platform.faults.down = false
       fleet.launch(third)
       await sleep(3000)
-      for (const id of load.serials().slice(0, 40)) load.resubmit(at(fleet.instances, 8), id)
+      for (const id of load.serialRequestIds().slice(0, 40)) load.resubmit(itemAt(fleet.instances, 8), id)
       await sleep(1000)
       await load.end()
       await running
@@ -221,7 +220,7 @@
       expect(load.caller.ends.filter(e => e.answer?.outcome === 'complete').length).to.be.greaterThan(50)
     })
 
-    it('serves again everywhere once all faults are over', async () => {
+    it('completes a job at every instance after all faults have ended', async () => {
       for (const instance of fleet.instances) await fleet.waitServing(instance)
       const load = new Load(fleet, 4)
       await sleep(7000)
