--- a/packages/cli/src/commands/contract.ts
+++ b/packages/cli/src/commands/contract.ts
@@ -1,5 +1,7 @@
 /**
- * `cranberryyard contract`: contracts as files under version control.
+ * `cranberryyard contract`: checks, plans and applies contracts that are kept as TOML files under version control, and shows,
+ * lists and undoes their revisions. Each change names the revision that it was planned on, so that two operators
+ * cannot overwrite each other's change unnoticed.
  */
 import { existsSync, readFileSync, readdirSync, statSync } from 'node:fs'
 import { join } from 'node:path'
@@ -7,16 +9,16 @@
 import type { AuditEntry, Contract, ContractRecord } from '@cranberryyard/protocol'
 import { changedSections } from '@cranberryyard/core'
 import { stringify } from 'smol-toml'
-import { call } from '../utils/client.js'
+import { sendRequest } from '../utils/client.js'
 import type { Target } from '../utils/client.js'
 import { reportChange, sendChange } from '../utils/changes.js'
 import { EXIT } from '../utils/exit.js'
 import type { ExitCode } from '../utils/exit.js'
-import { paint, renderFailure, table } from '../utils/output.js'
+import { colourText, renderFailure, table } from '../utils/output.js'
 import { fetchAudit } from './audit.js'
 
-/** Largest contract file that is read. */
-const FILE_BYTES_MAX = 262_144
+/** Largest contract file that is accepted. */
+const MAX_FILE_BYTES = 262_144
 
 interface ContractFile {
   readonly path: string
@@ -28,7 +30,10 @@
   readonly base: ContractRecord | undefined
 }
 
-/** Checks files or a folder. @returns the exit code */
+/**
+ * Checks one contract file or all in a folder, without contacting an instance.
+ * @returns the exit code
+ */
 export function lintContracts (path: string): ExitCode {
   const files = readContracts(path)
   if (files === undefined) return EXIT.usage
@@ -36,37 +41,43 @@
   return EXIT.ok
 }
 
-/** Prints exactly what would change. @returns the exit code */
+/**
+ * Prints the differences between contract files and the current contracts, without changing anything.
+ * @returns the exit code
+ */
 export async function planContracts (target: Target, path: string): Promise<ExitCode> {
-  const planned = await plan(target, path)
+  const planned = await planChanges(target, path)
   if (planned === undefined) return EXIT.usage
   for (const change of planned) console.log(renderPlan(change))
   return EXIT.ok
 }
 
 /**
- * Applies files or a folder; unchanged files cost no write.
+ * Applies one contract file or all in a folder. A file without a difference sends no change, unless `expect` is given.
  * @param target - an operators' port
  * @param path - file or folder
- * @param reason - why, for the audit trail
- * @param expect - the revision that was planned on, if it must not have moved since
- * @param changeId - repeats an earlier attempt
- * @returns the worst exit code
+ * @param reason - reason that the audit trail records
+ * @param expect - revision that the plan was based on; the change is refused when the contract has a newer one
+ * @param changeId - id of an earlier attempt when this call repeats it
+ * @returns the exit code of the last change that did not end with `EXIT.ok`
  */
 export async function applyContracts (target: Target, path: string, reason: string, expect?: number, changeId?: string): Promise<ExitCode> {
-  const planned = await plan(target, path)
+  const planned = await planChanges(target, path)
   if (planned === undefined) return EXIT.usage
-  let worst: ExitCode = EXIT.ok
+  let exitCode: ExitCode = EXIT.ok
   for (const change of planned) {
     console.log(renderPlan(change))
     if (!isChanged(change) && expect === undefined) continue
     const code = await applyOne(target, change, reason, expect, changeId)
-    if (code !== EXIT.ok) worst = code
+    if (code !== EXIT.ok) exitCode = code
   }
-  return worst
+  return exitCode
 }
 
-/** Prints a contract as a file. @returns the exit code */
+/**
+ * Prints a contract as TOML, in the form of a contract file.
+ * @returns the exit code
+ */
 export async function showContract (target: Target, customer: string): Promise<ExitCode> {
   const record = (await fetchContracts(target))?.find(r => r.contract.customer === customer)
   if (record === undefined) {
@@ -77,17 +88,23 @@
   return EXIT.ok
 }
 
-/** Lists the revisions of a contract. @returns the exit code */
+/**
+ * Lists the revisions of a contract from the audit trail.
+ * @returns the exit code
+ */
 export async function contractHistory (target: Target, customer: string): Promise<ExitCode> {
-  const entries = await revisionsOf(target, customer)
+  const entries = await fetchRevisionEntries(target, customer)
   if (entries === undefined) return EXIT.refused
   console.log(table(['revision', 'at', 'by', 'reason', 'change'], entries.map(e => [revisionOf(e), new Date(e.at).toISOString(), e.by, e.reason, `${e.before} -> ${e.after}`])))
   return EXIT.ok
 }
 
-/** Writes a new revision with the content before the last one. @returns the exit code */
+/**
+ * Writes a new revision with the content that the contract had before its last change.
+ * @returns the exit code
+ */
 export async function undoContract (target: Target, customer: string, reason: string): Promise<ExitCode> {
-  const entries = await revisionsOf(target, customer)
+  const entries = await fetchRevisionEntries(target, customer)
   const record = (await fetchContracts(target))?.find(r => r.contract.customer === customer)
   const last = entries?.at(-1)
   if (record === undefined || last === undefined || last.before === 'null') {
@@ -95,8 +112,8 @@
     return EXIT.refused
   }
   const contract = contractSchema.parse({ ...record.contract, ...(JSON.parse(last.before) as Partial<Contract>) })
-  const why = reason === '' ? `undo of revision ${record.revision}` : reason
-  const reply = await sendChange(target, { type: 'contract', contract, expectedRevision: record.revision }, why)
+  const auditReason = reason === '' ? `undo of revision ${record.revision}` : reason
+  const reply = await sendChange(target, { type: 'contract', contract, expectedRevision: record.revision }, auditReason)
   return reportChange(`contract ${customer}`, reply)
 }
 
@@ -109,17 +126,17 @@
   return code
 }
 
-/** A lost race is told with both changes: the other's and this one's. */
+/** After a conflict of revisions, prints both changes: the one that was applied first and the one that was refused. */
 async function explainConflict (target: Target, change: PlannedChange): Promise<void> {
   const { contract } = change.file
-  const entries = await revisionsOf(target, contract.customer)
-  const other = entries?.at(-1)
-  if (other !== undefined) console.error(`theirs: ${other.by}, revision ${revisionOf(other)}: ${other.before} -> ${other.after}`)
-  const own = changedSections(change.base?.contract, contract)
-  console.error(`yours:  ${own.before} -> ${own.after}`)
+  const entries = await fetchRevisionEntries(target, contract.customer)
+  const otherChange = entries?.at(-1)
+  if (otherChange !== undefined) console.error(`theirs: ${otherChange.by}, revision ${revisionOf(otherChange)}: ${otherChange.before} -> ${otherChange.after}`)
+  const ownChange = changedSections(change.base?.contract, contract)
+  console.error(`yours:  ${ownChange.before} -> ${ownChange.after}`)
 }
 
-async function revisionsOf (target: Target, customer: string): Promise<AuditEntry[] | undefined> {
+async function fetchRevisionEntries (target: Target, customer: string): Promise<AuditEntry[] | undefined> {
   const audit = await fetchAudit(target)
   return audit?.entries.filter(e => e.subject.type === 'contract' && e.subject.customer === customer)
 }
@@ -129,13 +146,13 @@
 }
 
 async function fetchContracts (target: Target): Promise<readonly ContractRecord[] | undefined> {
-  const { status, body } = await call<{ contracts: ContractRecord[] }>(target, 'GET', '/v1/contracts')
+  const { status, body } = await sendRequest<{ contracts: ContractRecord[] }>(target, 'GET', '/v1/contracts')
   if (status === 200) return body.contracts
   console.error(renderFailure(body as never))
   return undefined
 }
 
-async function plan (target: Target, path: string): Promise<PlannedChange[] | undefined> {
+async function planChanges (target: Target, path: string): Promise<PlannedChange[] | undefined> {
   const files = readContracts(path)
   if (files === undefined) return undefined
   const current = await fetchContracts(target)
@@ -148,13 +165,13 @@
 
 function renderPlan (change: PlannedChange): string {
   const { customer, team } = change.file.contract
-  if (change.base === undefined) return `${paint('bold', customer)}: new contract, team ${team}; no other customer is touched`
+  if (change.base === undefined) return `${colourText('bold', customer)}: new contract, team ${team}; no other customer is touched`
   if (!isChanged(change)) return `${customer}: unchanged at revision ${change.base.revision}`
   const { before, after } = changedSections(change.base.contract, change.file.contract)
-  return `${paint('bold', customer)}: revision ${change.base.revision} -> ${change.base.revision + 1}; no other customer is touched\n  - ${before}\n  + ${after}`
+  return `${colourText('bold', customer)}: revision ${change.base.revision} -> ${change.base.revision + 1}; no other customer is touched\n  - ${before}\n  + ${after}`
 }
 
-/** Reads one file or every .toml file of a folder; prints all faults and returns nothing if there are any. */
+/** Reads one file or every .toml file of a folder. When any has faults, prints the faults of all files and returns undefined. */
 function readContracts (path: string): ContractFile[] | undefined {
   if (!existsSync(path)) {
     console.error(`${path}: cannot be read`)
@@ -162,18 +179,18 @@
   }
   const paths = statSync(path).isDirectory() ? readdirSync(path).filter(f => f.endsWith('.toml')).sort().map(f => join(path, f)) : [path]
   const files: ContractFile[] = []
-  let faulty = false
+  let hasFaults = false
   for (const p of paths) {
     const contract = readContract(p)
-    if (contract === undefined) faulty = true
+    if (contract === undefined) hasFaults = true
     else files.push({ path: p, contract })
   }
-  return faulty ? undefined : files
+  return hasFaults ? undefined : files
 }
 
 function readContract (path: string): Contract | undefined {
-  if (statSync(path).size > FILE_BYTES_MAX) {
-    console.error(`${path}: larger than ${FILE_BYTES_MAX} bytes`)
+  if (statSync(path).size > MAX_FILE_BYTES) {
+    console.error(`${path}: larger than ${MAX_FILE_BYTES} bytes`)
     return undefined
   }
   const contract = readToml(readFileSync(path, 'utf8'), contractSchema)
--- a/packages/cli/src/commands/endpoint.ts
+++ b/packages/cli/src/commands/endpoint.ts
@@ -1,18 +1,22 @@
 /**
- * `cranberryyard endpoint`: list, drain, stop, resume.
+ * `cranberryyard endpoint`: lists endpoints, and drains, stops or resumes one of them. An order is a change like a contract change:
+ * it goes through `sendChange` and the audit trail records it.
  */
 import type { StatusReport } from '@cranberryyard/core'
 import type { EndpointOrder } from '@cranberryyard/protocol'
-import { call } from '../utils/client.js'
+import { sendRequest } from '../utils/client.js'
 import type { Target } from '../utils/client.js'
 import { reportChange, sendChange } from '../utils/changes.js'
 import { EXIT } from '../utils/exit.js'
 import type { ExitCode } from '../utils/exit.js'
 import { renderFailure, table } from '../utils/output.js'
 
-/** Lists endpoints as the instance asked uses them. @returns the exit code */
+/**
+ * Lists the endpoints with the order, health and running tasks that the contacted instance knows.
+ * @returns the exit code
+ */
 export async function listEndpoints (target: Target, json: boolean): Promise<ExitCode> {
-  const { status, body } = await call<StatusReport>(target, 'GET', '/v1/status')
+  const { status, body } = await sendRequest<StatusReport>(target, 'GET', '/v1/status')
   if (status !== 200) {
     console.error(renderFailure(body as never))
     return EXIT.refused
@@ -23,12 +27,12 @@
 }
 
 /**
- * Gives an order for an endpoint; the same order again changes nothing.
+ * Sends an order for an endpoint. Repeating the current order changes nothing.
  * @param target - an operators' port
- * @param endpoint - its name
- * @param order - what it shall be
- * @param reason - why, for the audit trail
- * @param force - also when it is the last of its size
+ * @param endpoint - name of the endpoint
+ * @param order - state that the endpoint is ordered into
+ * @param reason - reason that the audit trail records
+ * @param force - applies the order even to the last active endpoint of its size
  * @returns the exit code
  */
 export async function orderEndpoint (target: Target, endpoint: string, order: EndpointOrder, reason: string, force: boolean): Promise<ExitCode> {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * `cranberryyard`: the operators' command line, and submitting a job by hand.
+ * `cranberryyard`: the operators' command line, which can also submit a job by hand. This module only parses arguments and maps each
+ * command to its function in `commands/`; the process ends with the exit code that the function returns.
  */
 import process from 'node:process'
 import yargs from 'yargs'
@@ -20,8 +21,8 @@
 
 let exitCode: ExitCode = EXIT.ok
 
-/** Runs a command and keeps its exit code. */
-async function run (command: () => ExitCode | Promise<ExitCode>): Promise<void> {
+/** Runs a command and stores the exit code for the end of the process. An instance that does not respond gives `EXIT.unreachable`. */
+async function runCommand (command: () => ExitCode | Promise<ExitCode>): Promise<void> {
   try {
     exitCode = await command()
   } catch (err) {
@@ -39,31 +40,31 @@
 
 const targetOf = (args: TargetArgs): Target => ({ url: args.url.replace(/\/$/, ''), key: args.key, caFile: args.ca })
 
-const ORDERS = { drain: 'draining', stop: 'stopped', resume: 'active' } as const
+const ORDER_BY_VERB = { drain: 'draining', stop: 'stopped', resume: 'active' } as const
 
 function contractCommands (y: Argv<TargetArgs>): Argv<TargetArgs> {
   const withPath = (c: Argv<TargetArgs>) => c.positional('path', { type: 'string', demandOption: true, describe: 'Contract file or folder' })
   const withCustomer = (c: Argv<TargetArgs>) => c.positional('customer', { type: 'string', demandOption: true })
   return y
-    .command('lint <path>', 'Check contract files', withPath, args => run(() => lintContracts(args.path)))
-    .command('plan <path>', 'Print exactly what would change', withPath, args => run(() => planContracts(targetOf(args), args.path)))
+    .command('lint <path>', 'Check contract files', withPath, args => runCommand(() => lintContracts(args.path)))
+    .command('plan <path>', 'Print exactly what would change', withPath, args => runCommand(() => planContracts(targetOf(args), args.path)))
     .command('apply <path>', 'Apply contract files', c => withPath(c)
       .option('reason', { type: 'string', default: '', describe: 'Why, for the audit trail' })
-      .option('expect', { type: 'number', describe: 'Revision that was planned on' })
-      .option('change-id', { type: 'string', describe: 'Id of an earlier attempt to repeat' }), args => run(() => applyContracts(targetOf(args), args.path, args.reason, args.expect, args.changeId)))
-    .command('show <customer>', 'Print a contract', withCustomer, args => run(() => showContract(targetOf(args), args.customer)))
-    .command('history <customer>', 'List revisions', withCustomer, args => run(() => contractHistory(targetOf(args), args.customer)))
-    .command('undo <customer>', 'Write a new revision with the content before the last', c => withCustomer(c).option('reason', { type: 'string', default: '' }), args => run(() => undoContract(targetOf(args), args.customer, args.reason)))
+      .option('expect', { type: 'number', describe: 'Revision that the plan was based on' })
+      .option('change-id', { type: 'string', describe: 'Id of an earlier attempt to repeat' }), args => runCommand(() => applyContracts(targetOf(args), args.path, args.reason, args.expect, args.changeId)))
+    .command('show <customer>', 'Print a contract', withCustomer, args => runCommand(() => showContract(targetOf(args), args.customer)))
+    .command('history <customer>', 'List revisions', withCustomer, args => runCommand(() => contractHistory(targetOf(args), args.customer)))
+    .command('undo <customer>', 'Write a new revision with the content before the last', c => withCustomer(c).option('reason', { type: 'string', default: '' }), args => runCommand(() => undoContract(targetOf(args), args.customer, args.reason)))
     .demandCommand(1)
 }
 
 function endpointCommands (y: Argv<TargetArgs>): Argv<TargetArgs> {
-  const ordered = (['drain', 'stop', 'resume'] as const).reduce((c, verb) => c.command(`${verb} <endpoint>`, `Order an endpoint: ${ORDERS[verb]}`, b => b
+  const withOrders = (['drain', 'stop', 'resume'] as const).reduce((c, verb) => c.command(`${verb} <endpoint>`, `Order an endpoint: ${ORDER_BY_VERB[verb]}`, b => b
     .positional('endpoint', { type: 'string', demandOption: true })
     .option('reason', { type: 'string', default: '', describe: 'Why, for the audit trail' })
-    .option('force', { type: 'boolean', default: false, describe: 'Also when it is the last of its size' }), args => run(() => orderEndpoint(targetOf(args), args.endpoint, ORDERS[verb], args.reason, args.force))), y)
-  return ordered
-    .command('list', 'List endpoints', c => c.option('json', { type: 'boolean', default: false }), args => run(() => listEndpoints(targetOf(args), args.json)))
+    .option('force', { type: 'boolean', default: false, describe: 'Apply the order even to the last active endpoint of its size' }), args => runCommand(() => orderEndpoint(targetOf(args), args.endpoint, ORDER_BY_VERB[verb], args.reason, args.force))), y)
+  return withOrders
+    .command('list', 'List endpoints', c => c.option('json', { type: 'boolean', default: false }), args => runCommand(() => listEndpoints(targetOf(args), args.json)))
     .demandCommand(1)
 }
 
@@ -81,22 +82,22 @@
     .option('tasks', { type: 'number', default: 1, describe: 'Sample tasks when no file is given' })
     .option('run-ms', { type: 'number', default: 100, describe: 'Run time of a sample task' })
     .option('json', { type: 'boolean', default: false })
-    .example('$0 submit --kind compute --tasks 340', 'submit a job of 340 sample tasks'), args => run(() => submitJob(targetOf(args), { kind: args.kind, requestId: args.requestId, file: args.file, tasks: args.tasks, runMs: args.runMs, json: args.json })))
+    .example('$0 submit --kind compute --tasks 340', 'submit a job of 340 sample tasks'), args => runCommand(() => submitJob(targetOf(args), { kind: args.kind, requestId: args.requestId, file: args.file, tasks: args.tasks, runMs: args.runMs, json: args.json })))
   .command('status', 'Show the fleet as one instance sees it', c => c
     .option('json', { type: 'boolean', default: false })
-    .option('watch', { type: 'boolean', default: false }), args => run(() => showStatus(targetOf(args), { json: args.json, watch: args.watch })))
+    .option('watch', { type: 'boolean', default: false }), args => runCommand(() => showStatus(targetOf(args), { json: args.json, watch: args.watch })))
   .command('contract', 'Contracts under version control', contractCommands)
   .command('endpoint', 'List, drain, stop and resume endpoints', endpointCommands)
   .command('audit', 'Show who changed what, and check the trail', c => c
     .option('customer', { type: 'string' })
     .option('since', { type: 'string', describe: 'ISO time' })
-    .option('json', { type: 'boolean', default: false }), args => run(() => showAudit(targetOf(args), { customer: args.customer, sinceMs: args.since === undefined ? undefined : Date.parse(args.since), json: args.json })))
-  .command('key', 'Make a key and print its hash for a contract', {}, () => run(() => {
+    .option('json', { type: 'boolean', default: false }), args => runCommand(() => showAudit(targetOf(args), { customer: args.customer, sinceMs: args.since === undefined ? undefined : Date.parse(args.since), json: args.json })))
+  .command('key', 'Make a key and print its hash for a contract', {}, () => runCommand(() => {
     const key = newKey()
     console.log(`key  ${key}\nhash ${hashKey(key)}`)
     return EXIT.ok
   }))
-  .command('demo', 'Run the embedded default and measure one job of 340 tasks', {}, () => run(runDemo))
+  .command('demo', 'Run the embedded default and measure one job of 340 tasks', {}, () => runCommand(runDemo))
   .completion('completion', 'Print a shell completion script')
   .example('$0 contract plan contracts/', 'what would change')
   .example('$0 endpoint drain endpoint-1-1 --reason "fan swap"', 'take an endpoint out of use')
--- a/packages/cli/src/utils/client.ts
+++ b/packages/cli/src/utils/client.ts
@@ -1,14 +1,15 @@
 /**
- * HTTP client of the command line, for the callers' and the operators' ports.
+ * HTTP client of the command line, for the callers' port and the operators' port. All commands send their requests through it, so
+ * authentication, the certificate authority and the error for an instance that does not respond are handled in one place.
  */
 import { readFileSync } from 'node:fs'
 import { Agent, request } from 'undici'
 
-/** Where to send requests and as whom. */
+/** Address and credentials for requests. */
 export interface Target {
   readonly url: string
   readonly key: string
-  /** PEM authority for the port's certificate; empty for the system's. */
+  /** PEM file with the certificate authority that signed the port's certificate; when empty, the system's authorities apply. */
   readonly caFile: string
 }
 
@@ -18,19 +19,19 @@
   readonly body: T
 }
 
-/** The instance could not be reached. */
+/** No response arrived from the instance. */
 export class UnreachableError extends Error {}
 
 /**
- * Sends one request.
- * @param target - where and as whom
+ * Sends one request. It has no time-out, because a job's answer and a change that is not in force yet may take long.
+ * @param target - address and credentials
  * @param method - HTTP method
  * @param path - path and query
  * @param body - JSON body, if any
  * @returns status and parsed body
- * @throws UnreachableError when no response arrives
+ * @throws UnreachableError when no response arrives or the response cannot be read
  */
-export async function call<T> (target: Target, method: 'GET' | 'POST' | 'DELETE', path: string, body?: unknown): Promise<Reply<T>> {
+export async function sendRequest<T> (target: Target, method: 'GET' | 'POST' | 'DELETE', path: string, body?: unknown): Promise<Reply<T>> {
   const headers = { authorization: `Bearer ${target.key}`, 'content-type': 'application/json' }
   const dispatcher = target.caFile === '' ? undefined : new Agent({ connect: { ca: readFileSync(target.caFile) } })
   const options = { method, headers, headersTimeout: 0, bodyTimeout: 0, ...(dispatcher === undefined ? {} : { dispatcher }) }
--- a/packages/cli/src/utils/exit.ts
+++ b/packages/cli/src/utils/exit.ts
@@ -1,5 +1,5 @@
 /**
- * Exit codes of the command line. docs/CLI.md lists them.
+ * Exit codes of the command line, by which scripts tell a refusal from a conflict or an unreachable instance. docs/CLI.md lists them.
  */
 export const EXIT = {
   ok: 0,
@@ -11,5 +11,4 @@
   notYetInForce: 6
 } as const
 
-/** An exit code. */
 export type ExitCode = typeof EXIT[keyof typeof EXIT]
--- a/packages/cli/src/utils/output.ts
+++ b/packages/cli/src/utils/output.ts
@@ -1,21 +1,22 @@
 /**
- * Writing to a person: tables, colour only on a terminal, coded errors with what to do.
+ * Output for people: aligned tables, coloured text, and errors with their code. Text is coloured only on a terminal,
+ * so that output in files and pipes stays plain.
  */
 import process from 'node:process'
 import { styleText } from 'node:util'
 
-/** Colours used. */
+/** Colours and styles that the commands use. */
 export type Colour = 'green' | 'red' | 'yellow' | 'bold'
 
 /**
- * Colours text on a terminal; plain text elsewhere or with NO_COLOR.
- * @param colour - the colour
- * @param text - the text
+ * Colours text when standard output is a terminal and NO_COLOR is not set; otherwise the text stays plain.
+ * @param colour - colour or style
+ * @param text - text to colour
  * @returns text to print
  */
-export function paint (colour: Colour, text: string): string {
-  const isTerminal = process.stdout.isTTY && process.env.NO_COLOR === undefined
-  return isTerminal ? styleText(colour, text) : text
+export function colourText (colour: Colour, text: string): string {
+  const usesColour = process.stdout.isTTY && process.env.NO_COLOR === undefined
+  return usesColour ? styleText(colour, text) : text
 }
 
 /**
@@ -30,7 +31,7 @@
   return lines.map(l => l.map((cell, i) => cell.padEnd(widths[i] ?? 0)).join('  ').trimEnd()).join('\n')
 }
 
-/** A failure as the daemon reports it. */
+/** A refusal or failure as the daemon reports it. */
 export interface FailureBody {
   readonly code?: number
   readonly name?: string
@@ -39,11 +40,11 @@
 }
 
 /**
- * Renders a failure in one line.
+ * Renders a failure in one line: code, name, message and, if the daemon names one, the field.
  * @param body - the daemon's response
  * @returns text for standard error
  */
 export function renderFailure (body: FailureBody): string {
   const field = body.field === undefined || body.field === '' ? '' : ` (${body.field})`
-  return `${paint('red', `error ${body.code ?? '?'} ${body.name ?? ''}`)}: ${body.message ?? ''}${field}`
+  return `${colourText('red', `error ${body.code ?? '?'} ${body.name ?? ''}`)}: ${body.message ?? ''}${field}`
 }
