--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,19 +1,20 @@
-// Bundles the platform's entry point into one file; start-up time and memory follow from its size.
+// Bundles the platform's entry point into one file. Start-up time and memory grow with the size of the bundle, so a few
+// packages and modules are replaced by the small files in `parts/`, which export only what the platform uses.
 import { build } from 'esbuild'
 import { fileURLToPath } from 'node:url'
 
-/** What goes into the bundle instead of a package or one of its modules, by the name under which it is imported. */
-const PARTS = {
+/** File in `parts/` that replaces a package or one of its modules, by the name under which it is imported. */
+const REPLACEMENTS = {
   undici: 'undici.js',
   'prom-client': 'promClient.js',
   './client-h2.js': 'none.js'
 }
 
-const parts = {
+const replacementPlugin = {
   name: 'parts',
   setup ({ onResolve }) {
     onResolve({ filter: /^(undici|prom-client|\.\/client-h2\.js)$/ }, ({ path }) => ({
-      path: fileURLToPath(new URL(`parts/${PARTS[path]}`, import.meta.url))
+      path: fileURLToPath(new URL(`parts/${REPLACEMENTS[path]}`, import.meta.url))
     }))
   }
 }
@@ -29,5 +30,5 @@
   minifyWhitespace: true,
   legalComments: 'none',
   logLevel: 'warning',
-  plugins: [parts]
+  plugins: [replacementPlugin]
 })
--- a/scripts/copyCharts.js
+++ b/scripts/copyCharts.js
@@ -1,4 +1,4 @@
-// Copies the state charts and other JSON data next to the compiled code that reads them.
+// Copies the state charts and other JSON data next to the compiled code that reads them, because the compiler does not copy them.
 import { cpSync, existsSync, readdirSync } from 'node:fs'
 import { join } from 'node:path'
 
--- a/scripts/knownRed.js
+++ b/scripts/knownRed.js
@@ -1,16 +1,16 @@
-// Passes over the tests that KNOWN-RED.txt lists, and prints each of them.
+// Mocha hook that skips the tests whose full titles KNOWN-RED.txt lists, and prints each of them. With KNOWN_RED=run it skips none.
 import { readFileSync } from 'node:fs'
 
-const LIST = new URL('../KNOWN-RED.txt', import.meta.url)
-const ENTRY = /^test: (.*)$/gm
+const KNOWN_RED_LIST = new URL('../KNOWN-RED.txt', import.meta.url)
+const TEST_LINE = /^test: (.*)$/gm
 
-const titles = new Set([...readFileSync(LIST, 'utf8').matchAll(ENTRY)].map(match => match[1].trim()))
+const knownRedTitles = new Set([...readFileSync(KNOWN_RED_LIST, 'utf8').matchAll(TEST_LINE)].map(match => match[1].trim()))
 
 export const mochaHooks = {
   beforeEach () {
     const title = this.currentTest.fullTitle()
-    if (!titles.has(title) || process.env.KNOWN_RED === 'run') return
-    console.log(`      known red, not judged: ${title}`)
+    if (!knownRedTitles.has(title) || process.env.KNOWN_RED === 'run') return
+    console.log(`      listed in KNOWN-RED.txt, skipped: ${title}`)
     this.skip()
   }
 }
--- a/scripts/parts/none.js
+++ b/scripts/parts/none.js
@@ -1,2 +1,2 @@
-// Stands for modules that are imported and never called: HTTP/2 is not spoken on connections without TLS.
+// Replaces modules that are imported but never called, such as the HTTP/2 client: connections without TLS do not use HTTP/2.
 export {}
--- a/scripts/parts/undici.js
+++ b/scripts/parts/undici.js
@@ -1,2 +1,2 @@
-// The part of the HTTP client that the bundle needs: connection pools. The whole package doubles the start-up time.
+// Exports the part of the HTTP client that the platform uses: connection pools. The whole package doubles the start-up time.
 export { default as Pool } from 'undici/lib/dispatcher/pool.js'
