--- a/packages/bench/src/measure/claimsRun.ts
+++ b/packages/bench/src/measure/claimsRun.ts
@@ -1,6 +1,6 @@
 /**
- * Which share of first attempts of non-idempotent requests is served in a long outage of the platform's store,
- * with all domains connected, with one instance dead, and with one domain cut off.
+ * Measures the share of non-idempotent requests that are served on their first attempt during a long outage of the platform's
+ * store. Three scenarios run in memory: all failure domains connected, one instance dead, and one domain cut off.
  */
 import type { CallRecord, MemoryFleet } from '../memory/memoryFleet.js'
 import { testJob, testKeyHash } from '../memory/workload.js'
@@ -10,25 +10,27 @@
 import { round } from './policyRun.js'
 import { OFFICE } from './shapes.js'
 
+/** Length of the outage after the fault has settled. */
 const OUTAGE_MS = 300_000
-const SETTLE_MS = 8000
+/** Time between the start of outage and fault and the first request, so that the requests meet a fleet that has reacted to the fault. */
+const FAULT_SETTLE_MS = 8000
 const REQUESTS = 600
-const GAP_MS = 400
+const REQUEST_INTERVAL_MS = 400
 const CUSTOMER = 'laboratories'
 
-/** Share of first attempts with a complete answer. */
+/** Shares of first attempts with a complete answer, and counts of the others. */
 export interface ClaimsResult {
   readonly scenario: 'connected' | 'instanceDead' | 'domainCut'
   readonly served: number
-  /** Of requests that reached an instance of the cut-off domain. */
+  /** Share among the requests that were submitted to instances in `domain-3`, the domain that `domainCut` cuts off. */
   readonly servedInCutDomain: number
-  /** Of requests that reached the others. */
+  /** Share among the requests that were submitted to instances in the other domains. */
   readonly servedElsewhere: number
   readonly refusedAsNotRun: number
   readonly endedOtherwise: number
 }
 
-/** Measures the three scenarios. */
+/** Runs the three scenarios, each on a new fleet with the same seed. */
 export function runClaims (seed: number): ClaimsResult[] {
   return (['connected', 'instanceDead', 'domainCut'] as const).map(scenario => runScenario(seed, scenario))
 }
@@ -39,17 +41,17 @@
   fleet.run(WARM_UP_MS)
   fleet.storeDown = true
   applyFault(fleet, oracle, scenario)
-  fleet.run(SETTLE_MS)
+  fleet.run(FAULT_SETTLE_MS)
   const calls: CallRecord[] = []
-  const live = fleet.nodes.filter(n => n.core !== undefined)
+  const liveNodes = fleet.nodes.filter(n => n.core !== undefined)
   for (let i = 0; i < REQUESTS; i++) {
-    const node = live[i % live.length]
+    const node = liveNodes[i % liveNodes.length]
     const job = testJob(CUSTOMER, `certificate-${i}`, 'serial', [100, 200, 300])
-    fleet.time.after(i * GAP_MS, () => node !== undefined && calls.push(fleet.submit(node, testKeyHash(CUSTOMER), CUSTOMER, job)))
+    fleet.time.after(i * REQUEST_INTERVAL_MS, () => node !== undefined && calls.push(fleet.submit(node, testKeyHash(CUSTOMER), CUSTOMER, job)))
   }
   fleet.run(OUTAGE_MS)
   oracle.check()
-  return { scenario, ...count(calls, id => fleet.node(id as never)?.domain === 'domain-3') }
+  return { scenario, ...summarizeCalls(calls, id => fleet.node(id as never)?.domain === 'domain-3') }
 }
 
 function applyFault (fleet: MemoryFleet, oracle: Oracle, scenario: ClaimsResult['scenario']): void {
@@ -68,17 +70,17 @@
   }
 }
 
-function count (calls: readonly CallRecord[], isCut: (instance: string) => boolean): Omit<ClaimsResult, 'scenario'> {
+function summarizeCalls (calls: readonly CallRecord[], isCut: (instance: string) => boolean): Omit<ClaimsResult, 'scenario'> {
   const isServed = (c: CallRecord): boolean => c.answers[0]?.answer.outcome === 'complete'
-  const part = (set: readonly CallRecord[]): number => set.length === 0 ? 0 : round(set.filter(isServed).length / set.length)
+  const servedShare = (subset: readonly CallRecord[]): number => subset.length === 0 ? 0 : round(subset.filter(isServed).length / subset.length)
   const refused = calls.filter((c) => {
     const answer = c.answers[0]?.answer
     return c.refusals.length > 0 || (answer?.outcome === 'failed' && answer.ran === 'no')
   }).length
   return {
-    served: part(calls),
-    servedInCutDomain: part(calls.filter(c => isCut(c.instance))),
-    servedElsewhere: part(calls.filter(c => !isCut(c.instance))),
+    served: servedShare(calls),
+    servedInCutDomain: servedShare(calls.filter(c => isCut(c.instance))),
+    servedElsewhere: servedShare(calls.filter(c => !isCut(c.instance))),
     refusedAsNotRun: refused,
     endedOtherwise: calls.length - calls.filter(isServed).length - refused
   }
--- a/packages/bench/src/measure/ideal.ts
+++ b/packages/bench/src/measure/ideal.ts
@@ -1,23 +1,23 @@
 /**
- * The ideal that responses are compared with: one clairvoyant central first-come queue over the same slots,
- * with the same arrivals and true run times, and no cost beyond the round trips.
+ * Computes the ideal that measured response times are compared with: one central first-come, first-served queue over the same
+ * slots. It gets the same arrivals, knows the true run times, and has no cost beyond the round trips.
  */
 import TinyQueue from 'tinyqueue'
 
-/** A job as it arrived. */
+/** Arrival time and run times of a job, in milliseconds. */
 export interface ArrivedJob {
   readonly at: number
   readonly runTimes: readonly number[]
 }
 
 /**
- * Computes the ideal response of each job.
- * @param jobs - in order of arrival
- * @param slots - slots of all endpoints
- * @param roundTripsMs - round trips of one job: caller and endpoint
- * @returns responses in milliseconds, in the same order
+ * Computes the ideal response time of each job.
+ * @param jobs - jobs in order of arrival
+ * @param slots - number of slots of all endpoints together
+ * @param roundTripsMs - sum of one job's round trips: between caller and instance, and between instance and endpoint
+ * @returns response times in milliseconds, in the order of the jobs
  */
-export function idealResponses (jobs: readonly ArrivedJob[], slots: number, roundTripsMs: number): number[] {
+export function idealResponseTimes (jobs: readonly ArrivedJob[], slots: number, roundTripsMs: number): number[] {
   const freeAt = new TinyQueue<number>(new Array<number>(slots).fill(0), (a, b) => a - b)
   return jobs.map((job) => {
     let end = job.at
--- a/packages/bench/src/measure/isolationRun.ts
+++ b/packages/bench/src/measure/isolationRun.ts
@@ -1,6 +1,6 @@
 /**
- * How far one customer's burst moves another's response: a steady customer with small jobs, with and without
- * a burst of another customer, for several tolerances.
+ * Measures how much the burst of one customer delays the jobs of another. A steady customer submits small jobs, once alone
+ * and once beside a burst, for several values of the setting `burstToleranceMs`.
  */
 import type { CallRecord } from '../memory/memoryFleet.js'
 import { testJob, testKeyHash } from '../memory/workload.js'
@@ -11,15 +11,16 @@
 const STEADY = 'lubao'
 const BURSTING = 'malolos'
 const STEADY_JOBS = 200
-const STEADY_GAP_MS = 50
+const STEADY_INTERVAL_MS = 50
 const STEADY_TASKS = 4
 const RUN_MS = 200
 const BURST_JOBS = 20
 const BURST_TASKS = 340
 const BURST_AT_MS = 2000
-const TAIL_MS = 60_000
+/** Time after the last submission in which the burst's remaining tasks end. */
+const DRAIN_MS = 60_000
 
-/** Response of the steady customer, in milliseconds. */
+/** Response times of the steady customer, in milliseconds. */
 export interface IsolationResult {
   readonly burstToleranceMs: number
   readonly aloneP50: number
@@ -28,29 +29,29 @@
   readonly besideBurstP99: number
 }
 
-/** Measures isolation for several tolerances. */
+/** Measures the steady customer alone and beside the burst, for each tolerance. */
 export function runIsolation (seed: number): IsolationResult[] {
   return [0, 2000, 8000].map((burstToleranceMs) => {
-    const [aloneP50 = 0, aloneP99 = 0] = steadyResponses(seed, burstToleranceMs, false)
-    const [besideBurstP50 = 0, besideBurstP99 = 0] = steadyResponses(seed, burstToleranceMs, true)
+    const [aloneP50 = 0, aloneP99 = 0] = measureSteadyCustomer(seed, burstToleranceMs, false)
+    const [besideBurstP50 = 0, besideBurstP99 = 0] = measureSteadyCustomer(seed, burstToleranceMs, true)
     return { burstToleranceMs, aloneP50, aloneP99, besideBurstP50, besideBurstP99 }
   })
 }
 
-function steadyResponses (seed: number, burstToleranceMs: number, withBurst: boolean): number[] {
+function measureSteadyCustomer (seed: number, burstToleranceMs: number, withBurst: boolean): number[] {
   const fleet = makeShapedFleet(BANTAY, seed, { burstToleranceMs })
   fleet.run(WARM_UP_MS)
   const calls: CallRecord[] = []
   for (let i = 0; i < STEADY_JOBS; i++) {
     const job = testJob(STEADY, `steady-${i}`, 'compute', new Array<number>(STEADY_TASKS).fill(RUN_MS))
     const node = fleet.nodes[i % fleet.nodes.length]
-    fleet.time.after(i * STEADY_GAP_MS, () => node !== undefined && calls.push(fleet.submit(node, testKeyHash(STEADY), STEADY, job)))
+    fleet.time.after(i * STEADY_INTERVAL_MS, () => node !== undefined && calls.push(fleet.submit(node, testKeyHash(STEADY), STEADY, job)))
   }
   for (let i = 0; withBurst && i < BURST_JOBS; i++) {
     const job = testJob(BURSTING, `burst-${i}`, 'compute', new Array<number>(BURST_TASKS).fill(RUN_MS))
     const node = fleet.nodes[i % fleet.nodes.length]
     fleet.time.after(BURST_AT_MS, () => node !== undefined && fleet.submit(node, testKeyHash(BURSTING), BURSTING, job))
   }
-  fleet.run(STEADY_JOBS * STEADY_GAP_MS + TAIL_MS)
+  fleet.run(STEADY_JOBS * STEADY_INTERVAL_MS + DRAIN_MS)
   return quantiles(calls.flatMap(c => c.answers.map(a => a.at - c.at)), [50, 99]).map(Math.round)
 }
--- a/packages/bench/src/measure/plot.ts
+++ b/packages/bench/src/measure/plot.ts
@@ -1,16 +1,17 @@
 /**
- * Line plots as SVG, with scales from d3.
+ * Renders line plots as SVG for the measurement report. Scales and paths come from d3; the rest is
+ * assembled as text.
  */
 import { scaleLinear } from 'd3-scale'
 import { line } from 'd3-shape'
 
-/** A line. */
+/** One line of a plot. */
 export interface Series {
   readonly name: string
   readonly points: readonly { readonly x: number, readonly y: number }[]
 }
 
-/** What to plot. */
+/** Labels and lines of a plot. */
 export interface PlotOptions {
   readonly title: string
   readonly xLabel: string
@@ -25,7 +26,7 @@
 const TICKS = 5
 
 /**
- * Renders a plot.
+ * Renders a plot with a legend; the y axis starts at 0.
  * @param options - title, labels and lines
  * @returns an SVG document
  */
--- a/packages/bench/src/measure/policyRun.ts
+++ b/packages/bench/src/measure/policyRun.ts
@@ -1,34 +1,35 @@
 /**
- * Runs one routing policy over a planned workload in memory and compares it with the ideal.
+ * Runs one routing policy over a planned workload in memory, compares the response times with the ideal, and counts messages,
+ * store calls and late answers. The run uses virtual time, so the figures do not depend on the machine.
  */
 import { seededRandom } from '@cranberryyard/core'
 import { Oracle } from '../fuzz/oracle.js'
 import type { CallRecord, MemoryFleet } from '../memory/memoryFleet.js'
 import { testJob, testKeyHash } from '../memory/workload.js'
-import { idealResponses } from './ideal.js'
-import { NEAR_MS, WARM_UP_MS, makeShapedFleet } from './memoryShape.js'
+import { idealResponseTimes } from './ideal.js'
+import { SAME_DOMAIN_DELAY_MS, WARM_UP_MS, makeShapedFleet } from './memoryShape.js'
 import { quantiles } from './quantiles.js'
 import { planJobs, slotsOf } from './shapes.js'
 import type { PlannedJob, Shape } from './shapes.js'
 
-/** Time for the last jobs to end. */
-const TAIL_MS = 30_000
+/** Time after the last arrival in which the remaining jobs end. */
+const DRAIN_MS = 30_000
 
-/** Routing policies that are compared. */
+/** Routing policies to compare. */
 export type Policy = 'random' | 'twoChoices' | 'scheduler'
 
-/** What to run. */
+/** Deployment, policy and load of a run. */
 export interface PolicyRunOptions {
   readonly shape: Shape
   readonly policy: Policy
   readonly load: number
   readonly durationMs: number
   readonly seed: number
-  /** Changes to the routing settings. */
+  /** Routing settings that differ from the defaults. */
   readonly routing?: Record<string, unknown>
 }
 
-/** What came out. */
+/** Figures of a run. */
 export interface PolicyResult {
   readonly shape: string
   readonly policy: Policy
@@ -49,9 +50,9 @@
 }
 
 /**
- * Runs a policy.
- * @param options - shape, policy, load, length, seed
- * @returns figures of the run
+ * Runs a policy over a planned workload.
+ * @param options - deployment, policy, load, length and seed of the run
+ * @returns figures of the run; control messages and store calls are counted only while jobs arrive
  */
 export function runPolicy (options: PolicyRunOptions): PolicyResult {
   const { shape, policy, load, durationMs, seed, routing = {} } = options
@@ -63,10 +64,12 @@
   const startedAt = fleet.time.now
   const calls = jobs.map((job, i) => scheduleJob(fleet, job, i))
   fleet.run(durationMs)
-  const during = { ...fleet.counts }
-  fleet.run(TAIL_MS)
+  const atEndOfLoad = { ...fleet.counts }
+  fleet.run(DRAIN_MS)
   const tasks = jobs.reduce((sum, j) => sum + j.runTimes.length, 0)
-  const wasted = fleet.counts.peerJob - before.peerJob + 2 * (fleet.counts.starts - before.starts - tasks) + 2 * (fleet.counts.endpointControl - before.endpointControl)
+  // Counts messages beyond one start and one answer for each task: job messages between instances, further starts, and other calls
+  // to endpoints. A call counts twice, for request and reply.
+  const wastedMessages = fleet.counts.peerJob - before.peerJob + 2 * (fleet.counts.starts - before.starts - tasks) + 2 * (fleet.counts.endpointControl - before.endpointControl)
   const seconds = durationMs / 1000
   return {
     shape: shape.name,
@@ -74,14 +77,14 @@
     load,
     jobs: jobs.length,
     tasks,
-    ...ratios(shape, jobs, calls, startedAt),
-    wastedMessagesPerTask: round(wasted / tasks),
+    ...responseRatios(shape, jobs, calls, startedAt),
+    wastedMessagesPerTask: round(wastedMessages / tasks),
     refusedStartsPerTask: round((fleet.counts.starts - before.starts - tasks) / tasks),
-    controlMessagesPerSecond: round((during.peerControl - before.peerControl) / seconds),
-    controlMessagesPerTask: round((during.peerControl - before.peerControl) / tasks),
-    storeCallsPerSecond: round((during.storeCalls - before.storeCalls) / seconds),
+    controlMessagesPerSecond: round((atEndOfLoad.peerControl - before.peerControl) / seconds),
+    controlMessagesPerTask: round((atEndOfLoad.peerControl - before.peerControl) / tasks),
+    storeCallsPerSecond: round((atEndOfLoad.storeCalls - before.storeCalls) / seconds),
     limitOvershoot: Math.max(0, oracle.overshoot),
-    ...timeliness(calls)
+    ...countTimeliness(calls)
   }
 }
 
@@ -99,19 +102,19 @@
   return scheduled
 }
 
-function ratios (shape: Shape, jobs: readonly PlannedJob[], calls: readonly ScheduledCall[], startedAt: number): { responseOverIdealP50: number, responseOverIdealP99: number } {
-  const roundTrips = 2 * shape.callerMs + 2 * NEAR_MS
-  const ideal = idealResponses(jobs.map(j => ({ at: startedAt + j.at, runTimes: j.runTimes })), slotsOf(shape), roundTrips)
+function responseRatios (shape: Shape, jobs: readonly PlannedJob[], calls: readonly ScheduledCall[], startedAt: number): { responseOverIdealP50: number, responseOverIdealP99: number } {
+  const roundTripsMs = 2 * shape.callerDelayMs + 2 * SAME_DOMAIN_DELAY_MS
+  const ideal = idealResponseTimes(jobs.map(j => ({ at: startedAt + j.at, runTimes: j.runTimes })), slotsOf(shape), roundTripsMs)
   const values = calls.flatMap(({ call }, i) => {
-    const end = call?.answers[0]
-    if (call === undefined || end === undefined || end.answer.outcome !== 'complete') return []
-    return [(end.at - call.at + 2 * shape.callerMs) / (ideal[i] ?? 1)]
+    const firstAnswer = call?.answers[0]
+    if (call === undefined || firstAnswer === undefined || firstAnswer.answer.outcome !== 'complete') return []
+    return [(firstAnswer.at - call.at + 2 * shape.callerDelayMs) / (ideal[i] ?? 1)]
   })
   const [p50 = 0, p99 = 0] = quantiles(values, [50, 99])
   return { responseOverIdealP50: round(p50), responseOverIdealP99: round(p99) }
 }
 
-function timeliness (calls: readonly ScheduledCall[]): { answeredOnTime: number, answeredLate: number, notAnswered: number } {
+function countTimeliness (calls: readonly ScheduledCall[]): { answeredOnTime: number, answeredLate: number, notAnswered: number } {
   let answeredOnTime = 0
   let answeredLate = 0
   for (const { call } of calls) {
--- a/packages/bench/src/measure/quantiles.ts
+++ b/packages/bench/src/measure/quantiles.ts
@@ -1,15 +1,16 @@
 /**
- * Quantiles of ratios and times through hdr-histogram-js.
+ * Computes quantiles of ratios and times with hdr-histogram-js. The histogram takes integers only, so values are scaled
+ * before they are recorded.
  */
 import * as hdr from 'hdr-histogram-js'
 
-/** Values are kept to a thousandth. */
+/** Keeps three decimals of each value. */
 const SCALE = 1000
 
 /**
  * Computes quantiles.
- * @param values - non-negative numbers
- * @param percentiles - 0 to 100
+ * @param values - numbers; a negative one counts as 0
+ * @param percentiles - percentiles to compute, from 0 to 100
  * @returns one value for each percentile, 0 when there are no values
  */
 export function quantiles (values: readonly number[], percentiles: readonly number[]): number[] {
--- a/packages/bench/src/measure/report.ts
+++ b/packages/bench/src/measure/report.ts
@@ -1,5 +1,6 @@
 /**
- * Renders measurements as Markdown and SVG plots.
+ * Renders the figures of a full measurement as a Markdown page and SVG plots, and compares them with the targets. It only
+ * returns file contents; the caller writes them.
  */
 import type { ClaimsResult } from './claimsRun.js'
 import type { IsolationResult } from './isolationRun.js'
@@ -7,7 +8,7 @@
 import type { Policy, PolicyResult } from './policyRun.js'
 import type { ThroughputResult } from './throughputRun.js'
 
-/** All figures of a full run. */
+/** All figures of a full measurement. */
 export interface Measurements {
   readonly summary: object
   readonly results: readonly PolicyResult[]
@@ -16,7 +17,7 @@
   readonly throughput: ThroughputResult
 }
 
-/** A file of the report. */
+/** Name and content of a file in the report folder. */
 export interface ReportFile {
   readonly name: string
   readonly content: string
@@ -24,7 +25,7 @@
 
 const POLICIES: readonly Policy[] = ['random', 'twoChoices', 'scheduler']
 
-/** Targets from the stated list; a bound is never taken from a measured figure. */
+/** Bounds from the stated list of performance targets; a bound is never derived from a measured figure. */
 const TARGETS = {
   p50: 1.05,
   p99: 1.25,
@@ -33,17 +34,17 @@
   startsPerCore: 8000
 } as const
 
-/** Renders the report and its plots. */
+/** Renders the page, and two plots for each deployment. */
 export function renderReport (m: Measurements): ReportFile[] {
   const shapes = [...new Set(m.results.map(r => r.shape))]
   const plots = shapes.flatMap(shape => [
-    { name: `${shape}-p99.svg`, content: plotOf(m, shape, 'responseOverIdealP99', 'response over ideal, p99') },
-    { name: `${shape}-wasted.svg`, content: plotOf(m, shape, 'wastedMessagesPerTask', 'wasted messages a task') }
+    { name: `${shape}-p99.svg`, content: renderFigurePlot(m, shape, 'responseOverIdealP99', 'response over ideal, p99') },
+    { name: `${shape}-wasted.svg`, content: renderFigurePlot(m, shape, 'wastedMessagesPerTask', 'wasted messages a task') }
   ])
-  return [{ name: 'README.md', content: markdown(m, shapes) }, ...plots]
+  return [{ name: 'README.md', content: renderMarkdown(m, shapes) }, ...plots]
 }
 
-function plotOf (m: Measurements, shape: string, figure: 'responseOverIdealP99' | 'wastedMessagesPerTask', label: string): string {
+function renderFigurePlot (m: Measurements, shape: string, figure: 'responseOverIdealP99' | 'wastedMessagesPerTask', label: string): string {
   const series = POLICIES.map(policy => ({
     name: policy,
     points: m.results.filter(r => r.shape === shape && r.policy === policy).map(r => ({ x: r.load, y: r[figure] }))
@@ -51,7 +52,7 @@
   return renderPlot({ title: `${shape}: ${label}`, xLabel: 'load', yLabel: label, series })
 }
 
-function markdown (m: Measurements, shapes: readonly string[]): string {
+function renderMarkdown (m: Measurements, shapes: readonly string[]): string {
   return [
     '# Measurements',
     '',
@@ -60,7 +61,7 @@
     'single jobs, refused starts, and calls to endpoints beyond one start and one answer a task; heartbeats and permits are',
     'the control columns.',
     '',
-    ...shapes.flatMap(shape => shapeSection(m, shape)),
+    ...shapes.flatMap(shape => renderShapeSection(m, shape)),
     '## Isolation',
     '',
     'A steady customer with jobs of 4 tasks of 200 ms, alone and beside a burst of 6,800 tasks; response in milliseconds.',
@@ -82,7 +83,7 @@
   ].join('\n')
 }
 
-function shapeSection (m: Measurements, shape: string): string[] {
+function renderShapeSection (m: Measurements, shape: string): string[] {
   const rows = m.results.filter(r => r.shape === shape).map(r => [r.load, r.policy, r.jobs, r.tasks, r.responseOverIdealP50, r.responseOverIdealP99, r.wastedMessagesPerTask, r.refusedStartsPerTask, r.controlMessagesPerSecond, r.controlMessagesPerTask, r.storeCallsPerSecond, r.limitOvershoot])
   return [
     `## ${shape}`,
@@ -95,8 +96,8 @@
 }
 
 function targetRows (m: Measurements): (string | number)[][] {
-  const own = (load: number): PolicyResult[] => m.results.filter(r => r.policy === 'scheduler' && r.load === load)
-  const worst = (load: number, pick: (r: PolicyResult) => number): number => Math.max(...own(load).map(pick))
+  const schedulerResults = (load: number): PolicyResult[] => m.results.filter(r => r.policy === 'scheduler' && r.load === load)
+  const worst = (load: number, pick: (r: PolicyResult) => number): number => Math.max(...schedulerResults(load).map(pick))
   const row = (name: string, bound: number, value: number): (string | number)[] => [name, bound, value, value <= bound ? 'yes' : 'no']
   return [
     row('response over ideal, p50, 70% load', TARGETS.p50, worst(0.7, r => r.responseOverIdealP50)),
@@ -112,7 +113,7 @@
  * Renders a Markdown table.
  * @param header - column names
  * @param rows - cells
- * @returns lines
+ * @returns the lines of the table, joined by newlines
  */
 export function tableOf (header: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
   const line = (cells: readonly (string | number)[]): string => `| ${cells.join(' | ')} |`
--- a/packages/bench/src/measure/slopes.ts
+++ b/packages/bench/src/measure/slopes.ts
@@ -1,6 +1,7 @@
 /**
- * What control costs a daemon, measured on real processes at several sizes: processor time, resident memory,
- * bytes between instances, store calls, and the time until a change is in force. Nothing is submitted meanwhile.
+ * Measures what control traffic costs a daemon, on real processes and fleets of several sizes: processor time, resident memory,
+ * bytes between instances, store calls, and the time until a change is in force. No jobs are submitted, so all cost is that of
+ * control. A regression then gives the cost of each further instance, endpoint and customer.
  */
 import { randomUUID } from 'node:crypto'
 import { mkdtempSync } from 'node:fs'
@@ -16,19 +17,19 @@
 import { round } from './policyRun.js'
 
 const TEAM_KEY = 'slopes-team'
-const REST_MS = 8000
-const CHANGES = 12
-const DOMAIN_INSTANCES = 3
+const IDLE_MS = 8000
+const CHANGES_PER_SIZE = 12
+const INSTANCES_PER_DOMAIN = 3
 
-/** A size to measure at. */
-export interface Size {
+/** Size of a fleet to measure. */
+export interface FleetSize {
   readonly domains: number
   readonly endpoints: number
   readonly customers: number
 }
 
-/** Figures at one size, the mean over all daemons. */
-export interface SizeFigures extends Size {
+/** Figures for one fleet size, per daemon on average, except for the times until a change is in force. */
+export interface SizeFigures extends FleetSize {
   readonly instances: number
   readonly cpuPercent: number
   readonly residentMb: number
@@ -40,7 +41,7 @@
   readonly cpuMsPerChange: number
 }
 
-/** A straight line through measured points. */
+/** Regression line of one figure over the number of instances, endpoints or customers. */
 export interface Slope {
   readonly figure: string
   readonly per: 'instances' | 'endpoints' | 'customers'
@@ -49,11 +50,15 @@
   readonly points: readonly { readonly at: number, readonly measured: number, readonly residual: number }[]
 }
 
-const INSTANCE_SIZES: readonly Size[] = [1, 3, 8].map(domains => ({ domains, endpoints: 30, customers: 4 }))
-const ENDPOINT_SIZES: readonly Size[] = [1000, 2100].map(endpoints => ({ domains: 1, endpoints, customers: 4 }))
-const CUSTOMER_SIZES: readonly Size[] = [28, 56].map(customers => ({ domains: 1, endpoints: 30, customers }))
+const INSTANCE_SIZES: readonly FleetSize[] = [1, 3, 8].map(domains => ({ domains, endpoints: 30, customers: 4 }))
+const ENDPOINT_SIZES: readonly FleetSize[] = [1000, 2100].map(endpoints => ({ domains: 1, endpoints, customers: 4 }))
+const CUSTOMER_SIZES: readonly FleetSize[] = [28, 56].map(customers => ({ domains: 1, endpoints: 30, customers }))
 
-/** Measures all sizes. @returns figures by size and slopes */
+/**
+ * Measures fleets of all sizes.
+ * @param progress - receives the figures of each size as JSON
+ * @returns figures for each size, and the regression lines
+ */
 export async function measureSlopes (progress: (text: string) => void): Promise<{ sizes: SizeFigures[], slopes: Slope[] }> {
   const sizes: SizeFigures[] = []
   for (const size of [...INSTANCE_SIZES, ...ENDPOINT_SIZES, ...CUSTOMER_SIZES]) {
@@ -62,10 +67,10 @@
     sizes.push(figures)
   }
   const smallest = sizes[0]
-  const inEndpoints = sizes.filter(s => s === smallest || ENDPOINT_SIZES.some(e => e.endpoints === s.endpoints))
-  const inCustomers = sizes.filter(s => s === smallest || CUSTOMER_SIZES.some(c => c.customers === s.customers))
-  const inInstances = sizes.slice(0, INSTANCE_SIZES.length)
-  return { sizes, slopes: [...slopesOf(inInstances, 'instances'), ...slopesOf(inEndpoints, 'endpoints'), ...slopesOf(inCustomers, 'customers')] }
+  const byEndpoints = sizes.filter(s => s === smallest || ENDPOINT_SIZES.some(e => e.endpoints === s.endpoints))
+  const byCustomers = sizes.filter(s => s === smallest || CUSTOMER_SIZES.some(c => c.customers === s.customers))
+  const byInstances = sizes.slice(0, INSTANCE_SIZES.length)
+  return { sizes, slopes: [...slopesOf(byInstances, 'instances'), ...slopesOf(byEndpoints, 'endpoints'), ...slopesOf(byCustomers, 'customers')] }
 }
 
 const FIGURES = ['cpuPercent', 'residentMb', 'peerBytesPerSecond', 'storeCallsPerSecondPerInstance', 'changeInForceP50Ms', 'peerBytesPerChange', 'cpuMsPerChange'] as const
@@ -85,13 +90,13 @@
   })
 }
 
-async function measureSize (size: Size): Promise<SizeFigures> {
+async function measureSize (size: FleetSize): Promise<SizeFigures> {
   const domains = Array.from({ length: size.domains }, (_, i) => `d${i + 1}`)
   const contracts = Array.from({ length: size.customers }, (_, i) => testContract(`customer-${i + 1}`, 400))
   const fleet = new LocalFleet({
     folder: mkdtempSync(join(tmpdir(), 'cranberryyard-')),
     domains,
-    instancesPerDomain: DOMAIN_INSTANCES,
+    instancesPerDomain: INSTANCES_PER_DOMAIN,
     endpointsPerDomain: 0,
     slots: 8,
     contracts,
@@ -104,13 +109,13 @@
   try {
     await fleet.waitReady()
     await sleep(2000)
-    return { ...size, instances: fleet.instances.length, ...await measureRest(fleet), ...await measureChanges(fleet, contracts) }
+    return { ...size, instances: fleet.instances.length, ...await measureIdle(fleet), ...await measureChanges(fleet, contracts) }
   } finally {
     await fleet.stop()
   }
 }
 
-interface Totals {
+interface UsageTotals {
   readonly cpuSeconds: number
   readonly residentMb: number
   readonly peerBytes: number
@@ -118,7 +123,7 @@
   readonly at: number
 }
 
-function totals (fleet: LocalFleet): Totals {
+function readTotals (fleet: LocalFleet): UsageTotals {
   const usages = fleet.instances.map(i => usageOf(i.process?.pid ?? 0))
   const { calls } = fleet.platform
   return {
@@ -130,10 +135,10 @@
   }
 }
 
-async function measureRest (fleet: LocalFleet): Promise<Pick<SizeFigures, 'cpuPercent' | 'residentMb' | 'peerBytesPerSecond' | 'storeCallsPerSecondPerInstance'>> {
-  const before = totals(fleet)
-  await sleep(REST_MS)
-  const after = totals(fleet)
+async function measureIdle (fleet: LocalFleet): Promise<Pick<SizeFigures, 'cpuPercent' | 'residentMb' | 'peerBytesPerSecond' | 'storeCallsPerSecondPerInstance'>> {
+  const before = readTotals(fleet)
+  await sleep(IDLE_MS)
+  const after = readTotals(fleet)
   const seconds = (after.at - before.at) / 1000
   const n = fleet.instances.length
   return {
@@ -145,22 +150,25 @@
 }
 
 async function measureChanges (fleet: LocalFleet, contracts: readonly Contract[]): Promise<Pick<SizeFigures, 'changeInForceP50Ms' | 'changeInForceMaxMs' | 'peerBytesPerChange' | 'cpuMsPerChange'>> {
-  const before = totals(fleet)
+  const before = readTotals(fleet)
   const times: number[] = []
-  for (let i = 0; i < CHANGES; i++) times.push(await changeOnce(fleet, contracts[i % contracts.length], i))
-  const after = totals(fleet)
+  for (let i = 0; i < CHANGES_PER_SIZE; i++) times.push(await timeOneChange(fleet, contracts[i % contracts.length], i))
+  const after = readTotals(fleet)
   const n = fleet.instances.length
   const [p50 = 0, max = 0] = quantiles(times, [50, 100])
   return {
     changeInForceP50Ms: Math.round(p50),
     changeInForceMaxMs: Math.round(max),
-    peerBytesPerChange: Math.round((after.peerBytes - before.peerBytes) / n / CHANGES),
-    cpuMsPerChange: round((after.cpuSeconds - before.cpuSeconds) * 1000 / n / CHANGES)
+    peerBytesPerChange: Math.round((after.peerBytes - before.peerBytes) / n / CHANGES_PER_SIZE),
+    cpuMsPerChange: round((after.cpuSeconds - before.cpuSeconds) * 1000 / n / CHANGES_PER_SIZE)
   }
 }
 
-/** Changes a limit at one instance. @returns time until it is in force everywhere */
-async function changeOnce (fleet: LocalFleet, contract: Contract | undefined, i: number): Promise<number> {
+/**
+ * Changes one customer's limit through one instance.
+ * @returns time in milliseconds until the change is in force on all instances
+ */
+async function timeOneChange (fleet: LocalFleet, contract: Contract | undefined, i: number): Promise<number> {
   const url = fleet.instances[i % fleet.instances.length]?.operatorUrl ?? ''
   if (contract === undefined) return 0
   const headers = { authorization: `Bearer ${TEAM_KEY}`, 'content-type': 'application/json' }
@@ -172,6 +180,6 @@
   const startedAt = performance.now()
   const res = await request(`${url}/v1/changes`, { method: 'POST', headers, body: JSON.stringify(body) })
   const reply = await res.body.json() as { inForce?: boolean }
-  if (reply.inForce !== true) throw new Error(`a change was not in force: ${JSON.stringify(reply)}`)
+  if (reply.inForce !== true) throw new Error(`the change to the limit of ${contract.customer} is not in force: ${JSON.stringify(reply)}`)
   return performance.now() - startedAt
 }
--- a/packages/bench/src/measure/throughputRun.ts
+++ b/packages/bench/src/measure/throughputRun.ts
@@ -1,6 +1,6 @@
 /**
- * Task starts that one entry instance makes for a second of processor time: one daemon, endpoint stand-ins and
- * callers in this process, short tasks.
+ * Measures how many task starts one entry instance makes for each second of processor time. One real daemon runs as its own
+ * process; the endpoint stand-ins and the callers run in this process, and the tasks are short.
  */
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -19,7 +19,7 @@
 const WARM_UP_MS = 3000
 const CALLERS = 4
 
-/** What came out. */
+/** Figures of the run. */
 export interface ThroughputResult {
   readonly startsPerSecondPerCore: number
   readonly startsPerSecond: number
@@ -28,9 +28,9 @@
 }
 
 /**
- * Measures throughput.
+ * Measures the throughput of one entry instance after a warm-up.
  * @param durationMs - length of the measured part
- * @returns starts a second, and for a second of processor time
+ * @returns starts for each second, and for each second of processor time
  */
 export async function runThroughput (durationMs: number): Promise<ThroughputResult> {
   const key = 'measure-key'
@@ -56,39 +56,39 @@
   await fleet.start()
   try {
     await fleet.waitReady()
-    return await measure(fleet, key, durationMs)
+    return await measureStarts(fleet, key, durationMs)
   } finally {
     await fleet.stop()
   }
 }
 
-async function measure (fleet: LocalFleet, key: string, durationMs: number): Promise<ThroughputResult> {
+async function measureStarts (fleet: LocalFleet, key: string, durationMs: number): Promise<ThroughputResult> {
   const caller = new Caller(key, 'load')
   const instance = fleet.instances[0]
   const pid = instance?.process?.pid ?? 0
-  let running = true
+  let isSubmitting = true
   let jobs = 0
-  const loop = async (id: number): Promise<void> => {
-    for (let i = 0; running; i++) {
+  const submitLoop = async (id: number): Promise<void> => {
+    for (let i = 0; isSubmitting; i++) {
       await caller.submit(instance?.callerUrl ?? '', { requestId: `t-${id}-${i}`, kind: 'compute', runTimes: new Array<number>(JOB_TASKS).fill(RUN_MS) })
       jobs++
     }
   }
-  const loops = Array.from({ length: CALLERS }, (_, id) => loop(id))
+  const submitLoops = Array.from({ length: CALLERS }, (_, id) => submitLoop(id))
   await sleep(WARM_UP_MS)
   const before = { ...usageOf(pid), jobs, at: performance.now() }
   await sleep(durationMs)
   const after = { ...usageOf(pid), jobs, at: performance.now() }
-  running = false
-  await Promise.all(loops)
+  isSubmitting = false
+  await Promise.all(submitLoops)
   await caller.close()
   const starts = (after.jobs - before.jobs) * JOB_TASKS
-  const cpu = after.cpuSeconds - before.cpuSeconds
+  const cpuSeconds = after.cpuSeconds - before.cpuSeconds
   const seconds = (after.at - before.at) / 1000
   return {
-    startsPerSecondPerCore: Math.round(starts / cpu),
+    startsPerSecondPerCore: Math.round(starts / cpuSeconds),
     startsPerSecond: Math.round(starts / seconds),
-    cores: round(cpu / seconds),
+    cores: round(cpuSeconds / seconds),
     residentMb: Math.round(after.residentMb)
   }
 }
