--- a/packages/bench/src/docs/docs.spec.ts
+++ b/packages/bench/src/docs/docs.spec.ts
@@ -1,3 +1,7 @@
+/**
+ * Checks that documentation and examples agree with the code: generated pages match their rendering, the examples are valid,
+ * and every command of the lesson runs against a local fleet and prints what the page says.
+ */
 import { expect } from 'chai'
 import { execFileSync, spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
@@ -7,16 +11,16 @@
 import { RENDERED_PAGES } from './render.js'
 
 const ROOT = fileURLToPath(new URL('../../../../', import.meta.url))
-const read = (path: string): string => readFileSync(`${ROOT}${path}`, 'utf8')
+const readRepositoryFile = (path: string): string => readFileSync(`${ROOT}${path}`, 'utf8')
 const CLI = `${ROOT}packages/cli/dist/main.js`
 
-describe('pages that follow from code', () => {
+describe('documentation pages that are generated from code or list its result codes', () => {
   for (const [name, render] of Object.entries(RENDERED_PAGES)) {
-    it(`${name} is as rendered; npm run docs writes it`, () => expect(read(`docs/${name}`)).to.equal(render()))
+    it(`${name} matches its rendering (npm run docs rewrites it)`, () => expect(readRepositoryFile(`docs/${name}`)).to.equal(render()))
   }
 
-  it('RESULT-CODES.md has a true row for every code', () => {
-    const page = read('docs/RESULT-CODES.md')
+  it('RESULT-CODES.md has a row for every code and marks the codes after which nothing ran', () => {
+    const page = readRepositoryFile('docs/RESULT-CODES.md')
     for (const [name, code] of Object.entries(RESULT_CODES)) {
       const row = page.split('\n').find(line => line.startsWith(`| ${code} | ${name} |`))
       expect(row, `${code} ${name}`).to.not.equal(undefined)
@@ -25,19 +29,19 @@
   })
 })
 
-describe('examples', () => {
+describe('example configurations', () => {
   for (const folder of ['bantay', 'office']) {
-    it(`${folder} has correct contracts and settings`, () => {
+    it(`${folder} has valid contracts and settings`, () => {
       for (const file of readdirSync(`${ROOT}examples/${folder}/contracts`)) {
-        expect(readToml(read(`examples/${folder}/contracts/${file}`), contractSchema).isOk, file).to.equal(true)
+        expect(readToml(readRepositoryFile(`examples/${folder}/contracts/${file}`), contractSchema).isOk, file).to.equal(true)
       }
-      expect(readToml(read(`examples/${folder}/entry-1.toml`), settingsSchema).isOk).to.equal(true)
+      expect(readToml(readRepositoryFile(`examples/${folder}/entry-1.toml`), settingsSchema).isOk).to.equal(true)
     })
   }
 })
 
-describe('settings with faults', () => {
-  it('report all of them at once by key and line', () => {
+describe('a settings file with several faults', () => {
+  it('is rejected with the key and line of every fault at once', () => {
     const text = '[instance]\nid = "Entry 1"\nfailureDomain = "one"\n\n[listen]\ncallerPort = 99999\noperatorPort = 2\npeerPort = 3\nspeed = 1\n'
     const faults = readToml(text, settingsSchema).match({ Ok: () => [], Err: e => [...e] })
     expect(faults.map(f => [f.key, f.line])).to.have.deep.members([['instance.id', 2], ['listen.callerPort', 6], ['listen.speed', 9]])
@@ -50,8 +54,11 @@
   readonly shows: string
 }
 
-/** A step is a fenced `sh` block, a line `# exit N`, and a line `# shows TEXT`. */
-function stepsOf (page: string): LessonStep[] {
+/**
+ * Parses the steps of the lesson. Each is a fenced `sh lesson` block with optional lines `# exit N` (expected exit code, 0 by
+ * default) and `# shows TEXT` (expected part of the output).
+ */
+function parseLessonSteps (page: string): LessonStep[] {
   const blocks = [...page.matchAll(/```sh lesson\n([\s\S]*?)```/g)].map(m => m[1] ?? '')
   return blocks.map(block => ({
     command: block.split('\n').filter(l => l !== '' && !l.startsWith('#')).join('\n'),
@@ -60,23 +67,26 @@
   }))
 }
 
-/** Ports of this run; other runs on the machine use others. They lie between those of PortRange and those of connections. */
-const LESSON_PORTS_FROM = 31_000
-const LESSON_PORT_RANGE = 100
-const LESSON_PORT_RANGES = 17
-const lessonPort = LESSON_PORTS_FROM + (process.pid % LESSON_PORT_RANGES) * LESSON_PORT_RANGE
+/**
+ * Port range of this run, chosen by process id so that concurrent runs on the machine mostly use different ports. The ranges lie above
+ * those of `PortRange` and below those that the system hands out for connections.
+ */
+const LESSON_FIRST_PORT = 31_000
+const PORTS_PER_LESSON_RUN = 100
+const LESSON_RANGE_COUNT = 17
+const lessonBasePort = LESSON_FIRST_PORT + (process.pid % LESSON_RANGE_COUNT) * PORTS_PER_LESSON_RUN
 
-/** The page names the ports that `npm run local` has by default. */
+/** Replaces the default ports of `npm run local`, which the page names, by those of this run. */
 function withLessonPorts (command: string): string {
-  return command.replace(/127\.0\.0\.1:74(\d\d)/g, (_, offset: string) => `127.0.0.1:${lessonPort + Number(offset)}`)
+  return command.replace(/127\.0\.0\.1:74(\d\d)/g, (_, offset: string) => `127.0.0.1:${lessonBasePort + Number(offset)}`)
 }
 
-describe('the lesson', function () {
+describe('the lesson in LESSON.md', function () {
   this.timeout(90_000)
   let local: ChildProcess
 
   before(async () => {
-    local = spawn(process.execPath, [`${ROOT}packages/bench/dist/local.js`, '--base-port', String(lessonPort)], { cwd: ROOT, stdio: ['ignore', 'pipe', 'inherit'] })
+    local = spawn(process.execPath, [`${ROOT}packages/bench/dist/local.js`, '--base-port', String(lessonBasePort)], { cwd: ROOT, stdio: ['ignore', 'pipe', 'inherit'] })
     await new Promise<void>((resolve, reject) => {
       local.stdout?.on('data', chunk => String(chunk).includes('ready') && resolve())
       local.once('exit', code => reject(new Error(`the local run ended with ${code}`)))
@@ -90,8 +100,8 @@
     await ended
   })
 
-  it('can be followed command by command', () => {
-    const steps = stepsOf(read('docs/LESSON.md'))
+  it('gives the stated exit code and output for every command', () => {
+    const steps = parseLessonSteps(readRepositoryFile('docs/LESSON.md'))
     expect(steps.length).to.be.greaterThan(8)
     for (const step of steps) {
       const { code, output } = runShell(withLessonPorts(step.command))
--- a/packages/bench/src/docs/render.ts
+++ b/packages/bench/src/docs/render.ts
@@ -1,5 +1,6 @@
 /**
- * Renders the pages that follow from code: settings, metrics, state charts. A test compares them with the files.
+ * Renders the documentation pages that are generated from code: settings, metrics and state charts. `npm run docs` writes them, and
+ * a test fails when a page in `docs/` differs from its rendering.
  */
 import { CHART_NAMES, COUNTERS, readChart } from '@cranberryyard/core'
 import type { ChartName } from '@cranberryyard/core'
@@ -10,6 +11,7 @@
 import { z } from 'zod'
 import { tableOf } from '../measure/report.js'
 
+/** The part of a JSON schema that the settings page shows. */
 interface JsonSchema {
   readonly type?: string
   readonly description?: string
@@ -21,10 +23,10 @@
   readonly items?: JsonSchema
 }
 
-/** @returns docs/SETTINGS.md */
+/** Renders docs/SETTINGS.md from the schema of the settings, with a row for each key. */
 export function renderSettings (): string {
   const schema = z.toJSONSchema(settingsSchema, { io: 'input' }) as JsonSchema
-  const rows = rowsOf(schema, '')
+  const rows = settingRows(schema, '')
   return [
     '# Settings',
     '',
@@ -39,13 +41,13 @@
   ].join('\n')
 }
 
-function rowsOf (schema: JsonSchema, path: string): string[][] {
+function settingRows (schema: JsonSchema, path: string): string[][] {
   return Object.entries(schema.properties ?? {}).flatMap(([name, property]) => {
     const key = path === '' ? name : `${path}.${name}`
-    if (property.properties !== undefined) return rowsOf(property, key)
-    const items = property.items?.properties === undefined ? [] : rowsOf(property.items, `${key}[]`)
-    const own = [`\`${key}\``, typeOf(property), property.default === undefined ? '' : `\`${JSON.stringify(property.default)}\``, property.description ?? '']
-    return [own, ...items]
+    if (property.properties !== undefined) return settingRows(property, key)
+    const items = property.items?.properties === undefined ? [] : settingRows(property.items, `${key}[]`)
+    const settingRow = [`\`${key}\``, typeOf(property), property.default === undefined ? '' : `\`${JSON.stringify(property.default)}\``, property.description ?? '']
+    return [settingRow, ...items]
   })
 }
 
@@ -59,7 +61,7 @@
   return Object.entries(metrics).map(([name, text]) => [`\`${metricName(name.startsWith('shard.') ? name : `shard.${name}`)}\``, type, text])
 }
 
-/** @returns docs/METRICS.md */
+/** Renders docs/METRICS.md from the declarations of counters, gauges and histograms. */
 export function renderMetrics (): string {
   const rows = (metrics: Readonly<Record<string, string>>, type: string): string[][] => Object.entries(metrics).map(([name, text]) => [`\`cranberryyard.${name}\``, type, text])
   return [
@@ -84,7 +86,7 @@
   ].join('\n')
 }
 
-/** @returns docs/STATE-CHARTS.md */
+/** Renders docs/STATE-CHARTS.md, with a Mermaid diagram for each chart that the code interprets. */
 export function renderCharts (): string {
   return [
     '# State charts',
@@ -105,7 +107,7 @@
   return lines
 }
 
-/** Pages that follow from code, by file name below docs/. */
+/** Functions that render the generated pages, by file name in `docs/`. */
 export const RENDERED_PAGES: Readonly<Record<string, () => string>> = {
   'SETTINGS.md': renderSettings,
   'METRICS.md': renderMetrics,
