--- a/packages/bench/src/fuzz.ts
+++ b/packages/bench/src/fuzz.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run fuzz -- --seed N --runs M`: the stateful fuzzer by hand.
+ * `npm run fuzz -- --seed N --runs M`: runs the stateful fuzzer by hand, with a seed and length of choice, or replays a failed
+ * run. The last line of the output is a JSON summary; the exit code is 1 when a run failed.
  */
 import process from 'node:process'
 import yargs from 'yargs'
@@ -9,7 +10,7 @@
 const args = await yargs(hideBin(process.argv))
   .option('seed', { type: 'number', default: 1, describe: 'Seed of the generated commands' })
   .option('runs', { type: 'number', default: 100, describe: 'Number of command sequences' })
-  .option('commands', { type: 'number', default: 40, describe: 'Longest sequence' })
+  .option('commands', { type: 'number', default: 40, describe: 'Largest number of commands in a sequence' })
   .option('path', { type: 'string', describe: 'Path of a failed run, to replay it' })
   .strict()
   .parse()
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,2 +1,2 @@
-/** Measurement, fuzzing and the local run. Private to this repository. */
+/** This package holds the measurements, the fuzzers and the local run. It is private to this repository and exports nothing. */
 export {}
--- a/packages/bench/src/local.ts
+++ b/packages/bench/src/local.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run local`: nine entry instances, thirty endpoint stand-ins and a platform stand-in in three failure domains
- * on loopback, from port 7400 or `--base-port` on. Stays up until interrupted.
+ * `npm run local`: starts nine entry instances, thirty endpoint stand-ins and a platform stand-in in three failure domains
+ * on loopback. Ports are assigned upward from 7400 or `--base-port`. The fleet runs until the process is interrupted.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import process from 'node:process'
@@ -12,12 +12,12 @@
 import { LocalFleet } from './processes/localFleet.js'
 
 const { values } = parseArgs({ options: { 'base-port': { type: 'string', default: '7400' } } })
-const FOLDER = 'run'
+const RUN_FOLDER = 'run'
 const DOMAINS = ['pampanga', 'tarlac', 'bulacan']
-/** Keys of the local run only; they are printed and stand in no other place. */
+/** Keys for the local run only. They are printed at the start and must not be used anywhere else. */
 const KEYS = { team: 'cy_local-team', bantay: 'cy_local-bantay', bantayStaff: 'cy_local-bantay-staff', kyushu: 'cy_local-kyushu', kyushuStaff: 'cy_local-kyushu-staff' }
 
-function contract (customer: string, callerKey: string, staffKey: string): Contract {
+function makeContract (customer: string, callerKey: string, staffKey: string): Contract {
   return contractSchema.parse({
     customer,
     limits: { running: 120 },
@@ -31,9 +31,9 @@
   })
 }
 
-const contracts = [contract('bantay', KEYS.bantay, KEYS.bantayStaff), contract('kyushu', KEYS.kyushu, KEYS.kyushuStaff)]
+const contracts = [makeContract('bantay', KEYS.bantay, KEYS.bantayStaff), makeContract('kyushu', KEYS.kyushu, KEYS.kyushuStaff)]
 const fleet = new LocalFleet({
-  folder: FOLDER,
+  folder: RUN_FOLDER,
   domains: DOMAINS,
   instancesPerDomain: 3,
   endpointsPerDomain: 10,
@@ -45,20 +45,20 @@
   keepsLog: false
 })
 
-mkdirSync(`${FOLDER}/contracts`, { recursive: true })
-for (const c of contracts) writeFileSync(`${FOLDER}/contracts/${c.customer}.toml`, stringify(c))
+mkdirSync(`${RUN_FOLDER}/contracts`, { recursive: true })
+for (const c of contracts) writeFileSync(`${RUN_FOLDER}/contracts/${c.customer}.toml`, stringify(c))
 await fleet.start()
 await fleet.waitReady()
 
 console.log('nine instances, thirty endpoints, three failure domains; interrupt to stop')
 for (const i of fleet.instances) console.log(`${i.id.padEnd(18)} callers ${i.callerUrl}   operators ${i.operatorUrl}`)
 for (const [name, key] of Object.entries(KEYS)) console.log(`key of ${name.padEnd(12)} ${key}`)
-console.log(`contracts are in ${FOLDER}/contracts, settings and logs in ${FOLDER}`)
+console.log(`contracts are in ${RUN_FOLDER}/contracts, settings and logs in ${RUN_FOLDER}`)
 console.log('ready')
 
-async function end (): Promise<void> {
+async function stopFleet (): Promise<void> {
   await fleet.stop()
   process.exit(0)
 }
-process.on('SIGINT', () => void end())
-process.on('SIGTERM', () => void end())
+process.on('SIGINT', () => void stopFleet())
+process.on('SIGTERM', () => void stopFleet())
--- a/packages/bench/src/measure.ts
+++ b/packages/bench/src/measure.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run measure`: routing policies against the ideal, throughput, isolation, claims in outages, and slopes.
- * `--quick` ends within 45 s and prints JSON on its last line; `--slopes` measures what control costs.
+ * `npm run measure`: compares routing policies with the ideal, measures throughput, isolation and claims in outages, and writes
+ * the report. `--quick` ends within 45 s and writes no files; `--slopes` measures what control traffic costs at several
+ * fleet sizes instead. The last line of the output is JSON.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import process from 'node:process'
@@ -18,27 +19,27 @@
 const REPORT_FOLDER = 'docs/measurements'
 
 const args = await yargs(hideBin(process.argv))
-  .option('quick', { type: 'boolean', default: false, describe: 'Under 45 s, JSON on the last line' })
-  .option('slopes', { type: 'boolean', default: false, describe: 'Measure what control costs at several sizes' })
+  .option('quick', { type: 'boolean', default: false, describe: 'End within 45 s and write no files; JSON on the last line' })
+  .option('slopes', { type: 'boolean', default: false, describe: 'Measure what control traffic costs at several fleet sizes' })
   .option('seed', { type: 'number', default: 1 })
-  .option('commit', { type: 'string', default: '', describe: 'Name the figures are kept under in the history' })
+  .option('commit', { type: 'string', default: '', describe: 'Name under which the history keeps the figures' })
   .strict()
   .parse()
 
 const log = (text: string): void => console.log(text)
 
-if (args.slopes) await slopes()
-else await policies()
+if (args.slopes) await runSlopes()
+else await runPolicies()
 process.exit(0)
 
-async function slopes (): Promise<void> {
+async function runSlopes (): Promise<void> {
   const result = await measureSlopes(log)
   mkdirSync(REPORT_FOLDER, { recursive: true })
   writeFileSync(`${REPORT_FOLDER}/slopes.json`, `${JSON.stringify(result, null, 2)}\n`)
   console.log(JSON.stringify(result.slopes))
 }
 
-async function policies (): Promise<void> {
+async function runPolicies (): Promise<void> {
   const durationMs = args.quick ? 30_000 : 60_000
   const loads = args.quick ? [0.7] : [0.5, 0.7, 0.85, 0.95]
   const results: PolicyResult[] = []
@@ -78,11 +79,14 @@
   readonly notAnswered: number
 }
 
-/** The worse of both deployments at 70% load for ratios; sums for counts. */
+/**
+ * Summarizes the scheduler policy at 70% load: ratios are the worse of both deployments, counts of answers are sums over both.
+ * The limit overshoot is the largest of all policies and loads.
+ */
 function summarize (results: readonly PolicyResult[], startsPerSecondPerCore: number): Summary {
-  const own = results.filter(r => r.policy === 'scheduler' && r.load === 0.7)
-  const worst = (pick: (r: PolicyResult) => number): number => Math.max(...own.map(pick))
-  const sum = (pick: (r: PolicyResult) => number): number => own.reduce((total, r) => total + pick(r), 0)
+  const schedulerResults = results.filter(r => r.policy === 'scheduler' && r.load === 0.7)
+  const worst = (pick: (r: PolicyResult) => number): number => Math.max(...schedulerResults.map(pick))
+  const sum = (pick: (r: PolicyResult) => number): number => schedulerResults.reduce((total, r) => total + pick(r), 0)
   return {
     responseOverIdealP50: worst(r => r.responseOverIdealP50),
     responseOverIdealP99: worst(r => r.responseOverIdealP99),
--- a/packages/bench/src/shardFuzz.ts
+++ b/packages/bench/src/shardFuzz.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run fuzz:shard -- --seed N --runs M`: random runs of an in-memory fleet of shard instances under faults.
+ * `npm run fuzz:shard -- --seed N --runs M`: runs an in-memory fleet of shard instances under random faults, once for each seed.
+ * Each run prints a line of JSON; the exit code is 1 when a run violated an invariant.
  */
 import process from 'node:process'
 import yargs from 'yargs'
@@ -9,15 +10,15 @@
 const args = await yargs(hideBin(process.argv))
   .option('seed', { type: 'number', default: 1, describe: 'First seed' })
   .option('runs', { type: 'number', default: 20, describe: 'Number of seeds' })
-  .option('faulty', { type: 'number', default: 15_000, describe: 'Milliseconds of faults in a run' })
-  .option('rate', { type: 'number', default: 30, describe: 'Jobs a second' })
+  .option('faulty', { type: 'number', default: 15_000, describe: 'Length of the part of a run that has faults, in milliseconds' })
+  .option('rate', { type: 'number', default: 30, describe: 'Jobs submitted per second' })
   .strict()
   .parse()
 
-let broken = 0
+let failedRuns = 0
 for (let seed = args.seed; seed < args.seed + args.runs; seed++) {
   const result = runShardScenario(seed, args.faulty, args.rate)
-  if (result.violations.length > 0) broken++
+  if (result.violations.length > 0) failedRuns++
   console.log(JSON.stringify({ ...result, violations: result.violations.slice(0, 5), violationCount: result.violations.length, faults: result.violations.length > 0 ? result.faults : result.faults.length }))
 }
-process.exit(broken === 0 ? 0 : 1)
+process.exit(failedRuns === 0 ? 0 : 1)
