--- a/packages/bench/src/shard/shardFleet.ts
+++ b/packages/bench/src/shard/shardFleet.ts
@@ -3,7 +3,7 @@
  * every link. The same seed gives the same run.
  */
 import type { ListPace, ShardEffect, ShardInput, ShardSettings } from '@cranberryyard/core/shard'
-import { ENDPOINTS_MS, RECORDS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
+import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
 import type { Random } from '@cranberryyard/core'
 import { FencedEndpointModel, RecordStoreModel, ShardOracle } from '@cranberryyard/fakes'
 import type { ModelTask } from '@cranberryyard/fakes'
@@ -270,7 +270,7 @@
 
   /** Reads the lists now and at the new pace. */
   private setPace (process: Process, pace: ListPace): void {
-    const slower = ENDPOINTS_MS[pace] > ENDPOINTS_MS[process.pace]
+    const slower = ENDPOINT_LIST_PERIODS_MS[pace] > ENDPOINT_LIST_PERIODS_MS[process.pace]
     process.pace = pace
     const change = ++process.paceChanges
     const every = (period: number, step: () => void, first: number): void => {
@@ -280,8 +280,8 @@
         every(period, step, period)
       })
     }
-    every(RECORDS_MS[pace], () => this.readRecords(process), slower ? RECORDS_MS[pace] : 0)
-    every(ENDPOINTS_MS[pace], () => this.readEndpoints(process), slower ? ENDPOINTS_MS[pace] : 0)
+    every(RECORD_LIST_PERIODS_MS[pace], () => this.readRecords(process), slower ? RECORD_LIST_PERIODS_MS[pace] : 0)
+    every(ENDPOINT_LIST_PERIODS_MS[pace], () => this.readEndpoints(process), slower ? ENDPOINT_LIST_PERIODS_MS[pace] : 0)
   }
 
   private storeServes (process: Process): boolean {
--- a/packages/bench/src/shard/shardMutations.ts
+++ b/packages/bench/src/shard/shardMutations.ts
@@ -102,7 +102,7 @@
     seeds: [1, 2, 3, 4, 5, 6],
     apply: () => replace(sample.endpoints, 'usable', () => function (this: typeof sample.endpoints, ...args) {
       const [endpoint] = args as unknown as Parameters<typeof sample.endpoints.usable>
-      return endpoint.looked && endpoint.silent === 0
+      return endpoint.answeredUnderToken && endpoint.unansweredHolds === 0
     })
   },
   {
@@ -111,11 +111,11 @@
     seeds: [1, 19, 25],
     apply: () => {
       const undoTake = replace(sample.desired, 'take', () => function (this: typeof sample.desired, ...args) {
-        const [state] = args as unknown as Parameters<typeof sample.desired.take>
-        this.db.take(state)
+        const [state] = args as unknown as Parameters<typeof sample.desired.adopt>
+        this.db.adopt(state)
       })
       const undoHeard = replace(sample.desired, 'heard', () => function (this: typeof sample.desired, ...args) {
-        const [from, version] = args as unknown as Parameters<typeof sample.desired.heard>
+        const [from, version] = args as unknown as Parameters<typeof sample.desired.peerVersionReceived>
         if (version !== this.db.version()) (this as unknown as { tell: (to: InstanceId, message: object) => void }).tell(from, { type: 'desiredRequest' })
       })
       return () => {
--- a/packages/core/src/admission/admissionDecider.ts
+++ b/packages/core/src/admission/admissionDecider.ts
@@ -8,7 +8,7 @@
 import type { Ms } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import { AdmissionDb } from './admissionDb.js'
-import type { AdmissionVerdict, QueuedWork, ShardRoom } from './types.js'
+import type { AdmissionVerdict, QueuedWork, ShardCapacity } from './types.js'
 
 /** Added to the latest start per priority level when jobs are ordered; a higher number is less important. */
 const PRIORITY_STEP_MS = 40
@@ -30,7 +30,7 @@
    * @param room - the shard's capacity
    * @param now - the time
    */
-  decide (job: QueuedWork, room: ShardRoom, now: Ms): AdmissionVerdict {
+  decide (job: QueuedWork, room: ShardCapacity, now: Ms): AdmissionVerdict {
     const wait = this.expectedWait(job, room, now)
     if (now + wait + job.criticalPathMs <= job.usefulUntil) return { type: 'admit' }
     return { type: 'decline', retryAfterMs: this.retryAfter(room) }
@@ -49,7 +49,7 @@
    * @param now - the time
    * @returns jobs that cannot finish while their answer is still useful
    */
-  jobsToDecline (room: ShardRoom, now: Ms): T[] {
+  jobsToDecline (room: ShardCapacity, now: Ms): T[] {
     const declined: T[] = []
     const usable = usableCpu(room)
     let ahead = 0
@@ -61,18 +61,18 @@
   }
 
   /** @returns expected wait of a job that arrives now and starts after all waiting jobs */
-  backlogMs (room: ShardRoom): Ms {
+  backlogMs (room: ShardCapacity): Ms {
     const waiting = this.db.waitingWork()
     if (waiting === 0) return ms(0)
     return ms(Math.min(BACKLOG_MAX_MS, waiting / usableCpu(room)))
   }
 
   /** @returns delay after which callers that are declined now should retry */
-  retryAfter (room: ShardRoom): Ms {
+  retryAfter (room: ShardCapacity): Ms {
     return ms(Math.min(RETRY_MAX_MS, Math.max(RETRY_MIN_MS, this.backlogMs(room))))
   }
 
-  private expectedWait (job: QueuedWork, room: ShardRoom, now: Ms): number {
+  private expectedWait (job: QueuedWork, room: ShardCapacity, now: Ms): number {
     let ahead = 0
     for (const other of this.db.waiting) {
       if (other !== job && this.compare(other, job, now) <= 0) ahead += other.waitingWork()
@@ -96,6 +96,6 @@
   return job.onTimeUntil - job.criticalPathMs + job.priority * PRIORITY_STEP_MS
 }
 
-function usableCpu (room: ShardRoom): number {
+function usableCpu (room: ShardCapacity): number {
   return Math.max(1, room.totalCpuMilli * PACKING_SHARE)
 }
--- a/packages/core/src/admission/types.ts
+++ b/packages/core/src/admission/types.ts
@@ -26,7 +26,7 @@
 }
 
 /** Total and free capacity of a shard. */
-export interface ShardRoom {
+export interface ShardCapacity {
   /** Thousandths of a core at endpoints that accept work. */
   readonly totalCpuMilli: number
   readonly freeCpuMilli: number
--- a/packages/core/src/contracts/changeRules.ts
+++ b/packages/core/src/contracts/changeRules.ts
@@ -116,7 +116,7 @@
   if (info === undefined && record === undefined) return Result.err(codedError('unknownEndpoint', `no endpoint ${change.endpoint}`))
   const next = orderChart.next(record?.order ?? 'active', ORDER_EVENT[change.order])
   if (next === undefined) return Result.err(codedError('invalidTransition', `${record?.order ?? 'active'} cannot become ${change.order}`))
-  const active = endpoints.filter(e => e.id !== change.endpoint && orderOf(fleet, e.id) === 'active')
+  const active = endpoints.filter(e => e.id !== change.endpoint && endpointOrderOf(fleet, e.id) === 'active')
   if (actor.type === 'staff') {
     const denied = checkStaffOrder(change, actor, record, active.length, endpoints.length)
     if (denied !== undefined) return Result.err(denied)
@@ -151,7 +151,7 @@
 }
 
 /** @returns the operators' order for an endpoint, which is active unless they gave another one */
-export function orderOf (fleet: Fleet, endpoint: EndpointId): EndpointOrder {
+export function endpointOrderOf (fleet: Fleet, endpoint: EndpointId): EndpointOrder {
   return fleet.endpoints.find(e => e.endpoint === endpoint)?.order ?? 'active'
 }
 
--- a/packages/core/src/contracts/contractsDecider.ts
+++ b/packages/core/src/contracts/contractsDecider.ts
@@ -10,7 +10,7 @@
 import type { CasResult, ChangeRequest, ChangeResult } from '../instance/types.js'
 import type { Context } from '../instance/context.js'
 import { sendPeer } from '../instance/context.js'
-import { byAge } from '../membership/membershipDecider.js'
+import { compareByIncarnation } from '../membership/membershipDecider.js'
 import type { MembershipDecider } from '../membership/membershipDecider.js'
 import { AUDIT_TAIL_KEPT, AUDIT_TAIL_MAX } from './auditChain.js'
 import { ContractsDb } from './contractsDb.js'
@@ -55,7 +55,7 @@
   constructor (private readonly ctx: Context, private readonly membership: MembershipDecider, private readonly mutationContext: () => MutationContext) {}
 
   /** Registers a listener that is called with each newly adopted value. */
-  onAdopt (listener: FleetListener): void {
+  addFleetListener (listener: FleetListener): void {
     this.listeners.push(listener)
   }
 
@@ -83,7 +83,7 @@
    * @param callId - the call that receives the result
    * @param request - the change, with the operator's key
    */
-  change (callId: string, request: ChangeRequest): void {
+  receiveChange (callId: string, request: ChangeRequest): void {
     const actor = findActor(request.keyHash, this.ctx.cfg.operators.teamKeys, this.db.fleet)
     if (actor === undefined) {
       this.reject(callId, codedError('unauthorized', 'unknown key'))
@@ -96,14 +96,14 @@
   }
 
   /** Handles the fleet version in a peer's heartbeat: requests the value when the version is newer. */
-  hearVersion (from: InstanceId, version: number): void {
+  receiveVersion (from: InstanceId, version: number): void {
     if (version <= this.version) return
     this.requestFleet(from)
   }
 
   /** Answers a peer's request for the fleet value. */
   sendFleet (to: InstanceId): void {
-    this.membership.tell(to, { type: 'fleet', fleet: this.db.fleet, storeRevision: this.db.storeRevision, confirmed: this.confirmed })
+    this.membership.send(to, { type: 'fleet', fleet: this.db.fleet, storeRevision: this.db.storeRevision, confirmed: this.confirmed })
   }
 
   /** Handles a peer's fleet value. */
@@ -114,7 +114,7 @@
   }
 
   /** Handles a value that the store returned to a read or a watch. */
-  storeValue (source: 'read' | 'watch', revision: number, fleet: Fleet): void {
+  receiveStoreValue (source: 'read' | 'watch', revision: number, fleet: Fleet): void {
     this.noteStoreAnswer(source)
     this.confirm()
     const isNewer = fleet.version > this.version
@@ -126,7 +126,7 @@
   }
 
   /** Handles a watch that ended without a change. */
-  storeUnchanged (): void {
+  receiveStoreUnchanged (): void {
     this.noteStoreAnswer('watch')
     this.useStore()
   }
@@ -139,7 +139,7 @@
   }
 
   /** Handles a failed read or watch. */
-  storeFailed (operation: 'read' | 'watch'): void {
+  receiveStoreFailure (operation: 'read' | 'watch'): void {
     if (operation === 'watch') this.isWatchOpen = false
     if (operation === 'read' && this.storeState === 'reading') this.storeState = 'idle'
     this.noteStoreFailure()
@@ -176,7 +176,7 @@
   /** @returns true when this instance watches the store for its failure domain: no live instance there that is not leaving is older */
   isWatcher (): boolean {
     const { self } = this.ctx
-    const older = this.membership.liveInDomain().filter(m => m.status !== 'leaving' && byAge(m, self) < 0)
+    const older = this.membership.liveInDomain().filter(m => m.status !== 'leaving' && compareByIncarnation(m, self) < 0)
     return older.length === 0
   }
 
@@ -344,7 +344,7 @@
 
   /** Sends only the version, in a message as small as a heartbeat. The peer requests the value if its own watch has not delivered it. */
   private announceVersion (to: InstanceId): void {
-    this.membership.tell(to, { type: 'gossip', entries: [], fleetVersion: this.version })
+    this.membership.send(to, { type: 'gossip', entries: [], fleetVersion: this.version })
   }
 
   private requestFleet (from: InstanceId): void {
--- a/packages/core/src/contracts/mutations.ts
+++ b/packages/core/src/contracts/mutations.ts
@@ -7,7 +7,7 @@
 import { Result } from 'true-myth'
 import type { Change, ChangeRequest } from '../instance/types.js'
 import { appendAudit, contentHash, trimAudit } from './auditChain.js'
-import { actorName, checkContractChange, checkEndpointChange, findContract, orderOf } from './changeRules.js'
+import { actorName, checkContractChange, checkEndpointChange, findContract, endpointOrderOf } from './changeRules.js'
 import type { Mutation, MutationContext } from './types.js'
 
 /** Number of removals that the fleet value keeps. Every instance adopts a removal long before that many others follow. */
@@ -106,7 +106,7 @@
   context: MutationContext
 ): Result<Fleet, CodedError> {
   return checkEndpointChange(fleet, change, mutation.actor, context.endpoints).map((order) => {
-    const before = orderOf(fleet, change.endpoint)
+    const before = endpointOrderOf(fleet, change.endpoint)
     if (before === order) return fleet
     const others = fleet.endpoints.filter(e => e.endpoint !== change.endpoint)
     const record = { endpoint: change.endpoint, order, by: actorName(mutation.actor), at: mutation.at, reason: mutation.request.reason }
--- a/packages/core/src/deduplication/deduplicationDecider.ts
+++ b/packages/core/src/deduplication/deduplicationDecider.ts
@@ -82,7 +82,7 @@
    * @param requestId - the caller's id for the request
    * @param submissionId - the submission that claims the request
    */
-  begin (customer: CustomerId, requestId: RequestId, submissionId: SubmissionId): void {
+  beginAttempt (customer: CustomerId, requestId: RequestId, submissionId: SubmissionId): void {
     const giveUpAt = ms(this.ctx.now + this.ctx.cfg.deduplication.voteTimeoutMs)
     const attempt: ClaimAttempt = { customer, requestId, submissionId, giveUpAt, epoch: 0, holders: [], retryAt: ms(0), granted: new Set(), taken: new Map() }
     this.db.attempts.set(submissionId, attempt)
@@ -90,7 +90,7 @@
   }
 
   /** Gives up an attempt and releases its claim. No task of the submission may have started. */
-  abandon (submissionId: SubmissionId): void {
+  abandonAttempt (submissionId: SubmissionId): void {
     const attempt = this.db.attempts.get(submissionId)
     if (attempt === undefined) return
     this.db.attempts.delete(submissionId)
@@ -143,7 +143,7 @@
   }
 
   /** @returns number of buckets on which this instance cannot vote yet, because their import is incomplete */
-  importing (): number {
+  importingBuckets (): number {
     return this.db.imports.size
   }
 
--- a/packages/core/src/desired/desiredDb.ts
+++ b/packages/core/src/desired/desiredDb.ts
@@ -15,7 +15,7 @@
   }
 
   /** Replaces the desired state in force. */
-  take (state: DesiredState): void {
+  adopt (state: DesiredState): void {
     this.current = state
     this.byHost.clear()
     for (const queue of state.queues) {
--- a/packages/core/src/desired/desiredDecider.spec.ts
+++ b/packages/core/src/desired/desiredDecider.spec.ts
@@ -29,8 +29,8 @@
   }, () => storeReachable)
   for (let at = 0; at < forMs; at += MENTION_PERIOD_MS) {
     ctx.now = ms(at)
-    if (at === storeDeliversAt) desired.take(stateOf(2), 'store')
-    desired.heard(PEER, 2)
+    if (at === storeDeliversAt) desired.adopt(stateOf(2), 'store')
+    desired.peerVersionReceived(PEER, 2)
   }
   return times
 }
@@ -56,7 +56,7 @@
     const ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: 'd' as FailureDomain, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(0) }
     const sent: string[] = []
     const desired = new DesiredDecider(ctx, (to, message) => sent.push(`${to} ${message.type}`), () => true)
-    desired.take(stateOf(1), 'store')
+    desired.adopt(stateOf(1), 'store')
     for (const peer of ['a', 'b', 'a']) desired.stateRequested(peer as InstanceId)
     expect(sent).to.deep.equal([])
     desired.tick()
@@ -70,9 +70,9 @@
   it('are found by host and longest prefix, in the latest version only', () => {
     const ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: 'd' as FailureDomain, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(0) }
     const { db } = new DesiredDecider(ctx, () => {}, () => true)
-    db.take(stateOf(1, [queue('h', '/a/'), queue('h', '/a/b/'), queue('i', '/a/')]))
+    db.adopt(stateOf(1, [queue('h', '/a/'), queue('h', '/a/b/'), queue('i', '/a/')]))
     expect([db.queueFor('h', '/a/b/1')?.prefix, db.queueFor('h', '/a/1')?.prefix, db.queueFor('i', '/a/b/1')?.prefix, db.queueFor('j', '/a/1')]).to.deep.equal(['/a/b/', '/a/', '/a/', undefined])
-    db.take(stateOf(2, [queue('h', '/c/')]))
+    db.adopt(stateOf(2, [queue('h', '/c/')]))
     expect([db.queueFor('h', '/a/1'), db.queueFor('h', '/c/1')?.prefix]).to.deep.equal([undefined, '/c/'])
   })
 })
--- a/packages/core/src/desired/desiredDecider.ts
+++ b/packages/core/src/desired/desiredDecider.ts
@@ -25,27 +25,27 @@
   private behindSince: Ms | undefined
   private lastRequestAt = -Infinity
 
-  constructor (private readonly ctx: ShardContext, private readonly tell: SendToPeer, private readonly storeReachable: () => boolean) {}
+  constructor (private readonly ctx: ShardContext, private readonly send: SendToPeer, private readonly storeReachable: () => boolean) {}
 
   /** Puts a version in force if it is higher than the current one. */
-  take (state: DesiredState, source: string): void {
+  adopt (state: DesiredState, source: string): void {
     const before = this.db.version()
     if (state.version <= before) return
-    this.db.take(state)
+    this.db.adopt(state)
     this.behindSince = undefined
     this.lastRequestAt = -Infinity
     this.ctx.out.log('desired.inForce', { version: state.version, before, source, queues: state.queues.length })
   }
 
   /** A peer mentioned its version. It is asked for a copy if the version is newer and the store does not deliver it in time. */
-  heard (from: InstanceId, version: number): void {
+  peerVersionReceived (from: InstanceId, version: number): void {
     if (version <= this.db.version()) return
     const { now } = this.ctx
     this.behindSince ??= now
     const isOverdue = !this.storeReachable() || now - this.behindSince >= REQUEST_DELAY_MS
     if (!isOverdue || now - this.lastRequestAt < MIN_REQUEST_INTERVAL_MS) return
     this.lastRequestAt = now
-    this.tell(from, { type: 'desiredRequest' })
+    this.send(from, { type: 'desiredRequest' })
   }
 
   /** A peer requests the desired state; `tick` answers it. */
@@ -58,6 +58,6 @@
     const [next] = this.requesters
     if (next === undefined || this.db.state === undefined) return
     this.requesters.delete(next)
-    this.tell(next, { type: 'desired', state: this.db.state })
+    this.send(next, { type: 'desired', state: this.db.state })
   }
 }
--- a/packages/core/src/endpoints/endpointList.spec.ts
+++ b/packages/core/src/endpoints/endpointList.spec.ts
@@ -6,7 +6,7 @@
 import type { ShardContext } from '../shard/types.js'
 import { EndpointList } from './endpointList.js'
 
-const { missingMs } = SHARD_DEFAULTS
+const { missingEndpointRetentionMs } = SHARD_DEFAULTS
 const NEAR = 'near' as FailureDomain
 
 function report (id: string, failureDomain = NEAR): EndpointReport {
@@ -22,34 +22,34 @@
 describe('EndpointList, an instance\'s copy of the list of endpoints', () => {
   it('counts a list as fresh only when it was read as an owner', () => {
     const { ctx, list } = setUp()
-    list.take([report('a')], false)
+    list.applyList([report('a')], false)
     expect(list.freshAt).to.equal(undefined)
     ctx.now = ms(50)
-    list.take([report('a')], true)
+    list.applyList([report('a')], true)
     expect(list.freshAt).to.equal(50)
   })
 
   it('is known in full once entries that had lapsed before the first read have had time to come back', () => {
     const { ctx, list } = setUp()
-    list.take([report('a')], false)
-    ctx.now = ms(missingMs - 1)
-    list.take([report('a')], false)
+    list.applyList([report('a')], false)
+    ctx.now = ms(missingEndpointRetentionMs - 1)
+    list.applyList([report('a')], false)
     expect(list.knownInFullSince).to.equal(undefined)
-    ctx.now = ms(missingMs + 100)
-    list.take([report('a'), report('b', 'far' as FailureDomain)], false)
-    expect([list.knownInFullSince, list.of(NEAR).map(entry => entry.id)]).to.deep.equal([missingMs + 100, ['a']])
+    ctx.now = ms(missingEndpointRetentionMs + 100)
+    list.applyList([report('a'), report('b', 'far' as FailureDomain)], false)
+    expect([list.knownInFullSince, list.inFailureDomain(NEAR).map(entry => entry.id)]).to.deep.equal([missingEndpointRetentionMs + 100, ['a']])
   })
 
   it('gives missing entries the whole span again after a store outage', () => {
     const { ctx, list, gone } = setUp()
-    list.take([report('a')], false)
-    list.take([], false)
-    ctx.now = ms(missingMs + 1000)
-    list.storeRegained()
-    list.take([], false)
+    list.applyList([report('a')], false)
+    list.applyList([], false)
+    ctx.now = ms(missingEndpointRetentionMs + 1000)
+    list.storeReachableAgain()
+    list.applyList([], false)
     expect(gone).to.deep.equal([])
-    ctx.now = ms(2 * missingMs + 1000)
-    list.take([], false)
+    ctx.now = ms(2 * missingEndpointRetentionMs + 1000)
+    list.applyList([], false)
     expect(gone).to.deep.equal(['a'])
   })
 })
--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -36,7 +36,7 @@
   }
 
   /** Returns the endpoints of a failure domain. */
-  of (failureDomain: FailureDomain): EndpointReport[] {
+  inFailureDomain (failureDomain: FailureDomain): EndpointReport[] {
     return [...this.entries.values()].map(entry => entry.report).filter(report => report.failureDomain === failureDomain)
   }
 
@@ -45,12 +45,12 @@
    * @param reports - the entries of the list
    * @param fresh - true when the list was read as an owner, not from a copy that may be old
    */
-  take (reports: readonly EndpointReport[], fresh: boolean): void {
+  applyList (reports: readonly EndpointReport[], fresh: boolean): void {
     const { now, cfg } = this.ctx
     const listedIds = new Set<EndpointId>()
     if (fresh) this.lastFreshAt = now
     this.firstReadAt ??= now
-    if (now - this.firstReadAt >= cfg.missingMs) this.completeSince ??= now
+    if (now - this.firstReadAt >= cfg.missingEndpointRetentionMs) this.completeSince ??= now
     for (const report of reports) {
       listedIds.add(report.id)
       this.entries.set(report.id, { report, missingSince: undefined })
@@ -61,7 +61,7 @@
   }
 
   /** Called when the store is reachable again: entries that it lost meanwhile get the whole span to come back. */
-  storeRegained (): void {
+  storeReachableAgain (): void {
     for (const entry of this.entries.values()) {
       if (entry.missingSince !== undefined) entry.missingSince = this.ctx.now
     }
@@ -72,7 +72,7 @@
     const { now, cfg, out } = this.ctx
     entry.missingSince ??= now
     const missingMs = now - entry.missingSince
-    if (missingMs < cfg.missingMs) return
+    if (missingMs < cfg.missingEndpointRetentionMs) return
     this.entries.delete(id)
     out.log('endpoint.gone', { endpoint: id, failureDomain: entry.report.failureDomain, missingMs: Math.round(missingMs) })
     this.onGone(id)
--- a/packages/core/src/endpoints/endpointsDecider.spec.ts
+++ b/packages/core/src/endpoints/endpointsDecider.spec.ts
@@ -61,7 +61,7 @@
 type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
 function takeEffects<T extends ShardEffect['type']> (ctx: ShardContext, type: T): EffectOf<T>[] {
-  return ctx.out.take().filter((effect): effect is EffectOf<T> => effect.type === type)
+  return ctx.out.takeEffects().filter((effect): effect is EffectOf<T> => effect.type === type)
 }
 
 function listing (clock: number, running: readonly ListedRun[] = [], ended: readonly ListedEnd[] = [], bornAt = 5): EndpointListing {
@@ -113,7 +113,7 @@
     answerHold(ctx, ledger, listing(500))
     const run = ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
     ledger.startOutcome(ID, run.orderId, { type: 'started', clock: 510 as EndpointClockMs })
-    ledger.forget(ID)
+    ledger.markUnlisted(ID)
     expect(listener.events).to.deep.equal(['started 1'])
     expect(ledger.usable(endpointOf(ledger))).to.equal(false)
     ctx.now = ms(ctx.now + 100)
@@ -128,7 +128,7 @@
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
     ledger.start(endpointOf(ledger), TASK, 1, 'text', NEEDS)
-    ledger.forget(ID)
+    ledger.markUnlisted(ID)
     ledger.update([REPORT])
     expect(ledger.usable(endpointOf(ledger))).to.equal(true)
   })
@@ -201,7 +201,7 @@
     ledger.holdOutcome(ID, hold?.orderId ?? 0, { type: 'fenced' })
     expect(listener.events).to.deep.equal([])
     const promptHold = takeEffects(ctx, 'hold').at(-1)
-    ctx.now = ms(ctx.now + SHARD_DEFAULTS.idleLookMs)
+    ctx.now = ms(ctx.now + SHARD_DEFAULTS.idleHoldPeriodMs)
     ledger.tick()
     const nextHold = promptHold ?? takeEffects(ctx, 'hold').at(-1)
     ledger.holdOutcome(ID, nextHold?.orderId ?? 0, { type: 'fenced' })
--- a/packages/core/src/endpoints/endpointsDecider.ts
+++ b/packages/core/src/endpoints/endpointsDecider.ts
@@ -61,7 +61,7 @@
    * Marks an endpoint that the store no longer lists, so that it gets no more work. Its runs go on while it answers; it
    * is removed once nothing runs there.
    */
-  forget (id: EndpointId): void {
+  markUnlisted (id: EndpointId): void {
     const endpoint = this.db.get(id)
     if (endpoint === undefined) return
     endpoint.unlisted = true
@@ -76,7 +76,7 @@
   }
 
   /** Requires a new answer under the present token from every endpoint before anything starts there. */
-  lookAgain (): void {
+  requireFreshAnswers (): void {
     for (const endpoint of this.db.all()) this.requireFreshAnswer(endpoint)
   }
 
@@ -85,8 +85,8 @@
    * neither draining nor unlisted nor in quarantine.
    */
   usable (endpoint: LedgerEndpoint): boolean {
-    const { report, looked, silent, bornAt, quarantineUntil, unlisted } = endpoint
-    return looked && silent === 0 && !report.draining && !unlisted && bornAt === report.bornAt && quarantineUntil <= this.ctx.now
+    const { report, answeredUnderToken, unansweredHolds, bornAt, quarantineUntil, unlisted } = endpoint
+    return answeredUnderToken && unansweredHolds === 0 && !report.draining && !unlisted && bornAt === report.bornAt && quarantineUntil <= this.ctx.now
   }
 
   /** Starts a run. The caller has checked that the run fits and that the endpoint is `usable`. */
@@ -117,7 +117,7 @@
   }
 
   /** Marks all runs as unclaimed after their jobs were dropped; a job that still needs a run claims it again. */
-  disown (): void {
+  unclaimRuns (): void {
     for (const endpoint of this.db.all()) {
       for (const run of endpoint.runs.values()) {
         if (run.state !== 'running') continue
@@ -132,8 +132,8 @@
     for (const endpoint of [...this.db.all()]) {
       this.removeUnlisted(endpoint)
       for (const run of endpoint.runs.values()) this.resendStopIfDue(endpoint, run)
-      if (endpoint.silent > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leaseHorizon) this.reportRunsLost(endpoint)
-      if (endpoint.hold === undefined && this.ctx.now >= endpoint.nextLookAt) this.sendHold(endpoint)
+      if (endpoint.unansweredHolds > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leaseHorizon) this.reportRunsLost(endpoint)
+      if (endpoint.hold === undefined && this.ctx.now >= endpoint.nextHoldAt) this.sendHold(endpoint)
     }
   }
 
@@ -200,13 +200,13 @@
 
   private resendStopIfDue (endpoint: LedgerEndpoint, run: LedgerRun): void {
     if (run.state !== 'stopping') return
-    if (this.ctx.now - run.lastSentAt >= this.ctx.cfg.orderTimeoutMs && endpoint.silent < SILENT_HOLDS_MAX) this.sendStop(endpoint, run)
+    if (this.ctx.now - run.lastSentAt >= this.ctx.cfg.orderTimeoutMs && endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendStop(endpoint, run)
   }
 
   private requireFreshAnswer (endpoint: LedgerEndpoint): void {
-    endpoint.looked = false
+    endpoint.answeredUnderToken = false
     endpoint.hold = undefined
-    endpoint.silent = 0
+    endpoint.unansweredHolds = 0
     this.sendHold(endpoint)
   }
 
@@ -215,10 +215,10 @@
     const { now, cfg } = this.ctx
     const token = this.tokenOf(endpoint.report.failureDomain)
     if (token === undefined) return
-    const extend = endpoint.looked && endpoint.silent < SILENT_HOLDS_MAX && endpoint.runs.size > 0 && endpoint.clockOffset !== undefined
+    const extend = endpoint.answeredUnderToken && endpoint.unansweredHolds < SILENT_HOLDS_MAX && endpoint.runs.size > 0 && endpoint.clockOffset !== undefined
     const extendTo = extend ? (endpointClock(endpoint, now) + cfg.leaseMs) as EndpointClockMs : undefined
     if (extendTo !== undefined) this.extendHorizon(endpoint, extendTo)
-    const waitMs = extend && endpoint.silent === 0 ? cfg.holdWaitMs : ms(0)
+    const waitMs = extend && endpoint.unansweredHolds === 0 ? cfg.holdWaitMs : ms(0)
     const orderId = ++this.orderCounter
     endpoint.hold = { orderId, token, sentAt: now, endTimeKnown: now - endpoint.answeredAt <= END_TIME_GAP_MAX_MS || endpoint.runs.size === 1 }
     this.ctx.out.count('shard.holds.sent')
@@ -237,32 +237,32 @@
 
   private scheduleNextHold (endpoint: LedgerEndpoint): void {
     if (endpoint.runs.size > 0) this.sendHold(endpoint)
-    else endpoint.nextLookAt = ms(this.ctx.now + this.ctx.cfg.idleLookMs)
+    else endpoint.nextHoldAt = ms(this.ctx.now + this.ctx.cfg.idleHoldPeriodMs)
   }
 
   private holdFailed (endpoint: LedgerEndpoint, why: string): void {
     const { out, now, cfg, self } = this.ctx
     out.count('shard.holds.silent')
-    endpoint.silent++
-    if (endpoint.silent === SILENT_HOLDS_MAX) {
+    endpoint.unansweredHolds++
+    if (endpoint.unansweredHolds === SILENT_HOLDS_MAX) {
       out.log('endpoint.silent', { endpoint: endpoint.id, failureDomain: endpoint.report.failureDomain, why, runs: endpoint.runs.size, lastAnswerAgeMs: Math.round(now - endpoint.answeredAt), owner: self.instance }, 'warn')
     }
-    if (endpoint.silent < SILENT_HOLDS_MAX) this.sendHold(endpoint)
-    else endpoint.nextLookAt = ms(now + cfg.silentLookMs)
+    if (endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendHold(endpoint)
+    else endpoint.nextHoldAt = ms(now + cfg.silentHoldPeriodMs)
   }
 
   private applyListing (endpoint: LedgerEndpoint, listing: EndpointListing, hold: PendingHold): void {
     const { now, out } = this.ctx
     if (endpoint.bornAt !== undefined && endpoint.bornAt !== listing.bornAt) this.endpointRestarted(endpoint, listing.bornAt)
-    if (endpoint.silent >= SILENT_HOLDS_MAX) out.log('endpoint.answers', { endpoint: endpoint.id, silentMs: Math.round(now - endpoint.answeredAt) })
+    if (endpoint.unansweredHolds >= SILENT_HOLDS_MAX) out.log('endpoint.answers', { endpoint: endpoint.id, silentMs: Math.round(now - endpoint.answeredAt) })
     endpoint.bornAt = listing.bornAt
     endpoint.clockOffset = listing.clock - now
-    endpoint.silent = 0
+    endpoint.unansweredHolds = 0
     endpoint.answeredAt = now
     this.applyEnds(endpoint, listing, hold.endTimeKnown)
     this.applyRunning(endpoint, listing.running)
     this.resolveMissingRuns(endpoint, listing, hold.sentAt)
-    endpoint.looked = true
+    endpoint.answeredUnderToken = true
     this.listener.roomChanged()
   }
 
@@ -280,7 +280,7 @@
   private applyRunning (endpoint: LedgerEndpoint, running: readonly ListedRun[]): void {
     for (const row of running) {
       const run = endpoint.runs.get(row.task)
-      if (run === undefined) this.found(endpoint, row)
+      if (run === undefined) this.addFoundRun(endpoint, row)
       else if (run.run === row.run) this.applyProgress(run, row.percent)
     }
   }
@@ -298,7 +298,7 @@
     if (run.state === 'running') this.listener.runProgressed(run)
   }
 
-  private found (endpoint: LedgerEndpoint, { task, run: number, percent }: ListedRun): void {
+  private addFoundRun (endpoint: LedgerEndpoint, { task, run: number, percent }: ListedRun): void {
     const run = makeRun(endpoint, task, number, this.ctx.now, { state: 'unclaimed', confirmed: true, percent, foundPercent: percent })
     this.db.addRun(endpoint, run)
     this.listener.runFound(run)
@@ -404,7 +404,7 @@
   }
 
   private retryStart (endpoint: LedgerEndpoint, run: LedgerRun): void {
-    if (run.sends < START_SENDS_MAX && endpoint.silent < SILENT_HOLDS_MAX) this.sendStart(endpoint, run)
+    if (run.sends < START_SENDS_MAX && endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendStart(endpoint, run)
   }
 
   /** Ignores the refusal of a token that this instance has itself replaced since; the shard may still be its own. */
--- a/packages/core/src/endpoints/types.ts
+++ b/packages/core/src/endpoints/types.ts
@@ -67,7 +67,7 @@
   readonly id: EndpointId
   report: EndpointReport
   /** The endpoint has answered under the present fencing token; before that nothing may start there. */
-  looked: boolean
+  answeredUnderToken: boolean
   /** Incarnation of the endpoint (its start time) whose listing was seen last. */
   bornAt: number | undefined
   /** The endpoint's clock minus this instance's, at the latest answer. */
@@ -77,11 +77,11 @@
   acknowledged: number
   hold: PendingHold | undefined
   /** Number of consecutive holds without an answer. */
-  silent: number
+  unansweredHolds: number
   /** Time of the latest answer to a hold. */
   answeredAt: Ms
   /** When the next hold is due if none is pending. */
-  nextLookAt: Ms
+  nextHoldAt: Ms
   /** Latest time, on this instance's clock, up to which runs may keep running without further holds. */
   leaseHorizon: Ms
   /** Nothing is placed before this time, because starts sent to an earlier incarnation may still arrive. */
--- a/packages/core/src/execution/quickFit.spec.ts
+++ b/packages/core/src/execution/capacityPrecheck.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { ms } from '@cranberryyard/protocol'
 import type { Candidate } from '../placement/placementDecider.js'
-import { anyFits, largestFreeCpu, smallestCpuNeed } from './quickFit.js'
+import { anyFits, largestFreeCpu, smallestCpuNeed } from './capacityPrecheck.js'
 import type { OwnedStep } from './types.js'
 
 function step (cpuMilli: number, unfinishedTasks: number): OwnedStep {
--- a/packages/core/src/execution/executionDb.ts
+++ b/packages/core/src/execution/executionDb.ts
@@ -79,7 +79,7 @@
  * @param steps - the job's steps; each depends only on earlier ones
  * @param ratio - factor from estimated to actual run time
  */
-export function chainOf (steps: readonly StepSpec[], ratio: number): Ms {
+export function criticalPathOf (steps: readonly StepSpec[], ratio: number): Ms {
   const ends: number[] = []
   for (const step of steps) {
     const before = Math.max(0, ...step.after.map(number => ends[number] ?? 0))
--- a/packages/core/src/execution/executionDecider.spec.ts
+++ b/packages/core/src/execution/executionDecider.spec.ts
@@ -38,7 +38,7 @@
 
   constructor (endpoints: number) {
     this.execution = new ExecutionDecider(this.ctx, this.placement, {
-      tell: (_front, message) => this.sentToFronts.push(message),
+      sendToFront: (_front, message) => this.sentToFronts.push(message),
       superseded: () => {},
       earlierRunsKnown: () => true
     })
@@ -94,12 +94,12 @@
   }
 
   settle (): void {
-    this.execution.pump()
+    this.execution.startWaitingTasks()
     this.collectEffects()
   }
 
   private collectEffects (): void {
-    for (const effect of this.ctx.out.take()) {
+    for (const effect of this.ctx.out.takeEffects()) {
       if (effect.type === 'hold') this.holds.set(effect.endpoint, effect.orderId)
       if (effect.type === 'startTask') this.starts.push(effect)
       if (effect.type === 'stopTask') this.stops.push(effect)
@@ -197,7 +197,7 @@
 
   it('measures the speed of runs found after a takeover only from the progress it has observed', () => {
     const owner = new OwnerHarness(5)
-    owner.ledger.lookAgain()
+    owner.ledger.requireFreshAnswers()
     owner.settle()
     owner.answerHold('e-4' as EndpointId, [])
     for (const index of [0, 1, 2, 3]) owner.answerHold(`e-${index}` as EndpointId, [{ task: `a.0.0.${index}` as TaskName, run: 1, percent: 40 }])
--- a/packages/core/src/execution/executionDecider.ts
+++ b/packages/core/src/execution/executionDecider.ts
@@ -7,14 +7,14 @@
 import type { DispatchOrder, EndpointId, FailureDomain, FencingToken, InstanceId, JobId, JobOutcome, JobProgress, Ms, RunEnd, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import { AdmissionDecider } from '../admission/admissionDecider.js'
-import type { ShardRoom } from '../admission/types.js'
+import type { ShardCapacity } from '../admission/types.js'
 import { fits, freeRoom, minus, plus } from '../endpoints/endpointsDb.js'
 import type { EndpointsDecider } from '../endpoints/endpointsDecider.js'
 import type { LedgerRun, RejectionReason, RunListener } from '../endpoints/types.js'
 import type { Candidate, PlacementDecider } from '../placement/placementDecider.js'
 import type { ShardContext } from '../shard/types.js'
-import { ExecutionDb, chainOf, isReady, makeSteps, objectiveOf } from './executionDb.js'
-import { anyFits, largestFreeCpu, smallestCpuNeed } from './quickFit.js'
+import { ExecutionDb, criticalPathOf, isReady, makeSteps, objectiveOf } from './executionDb.js'
+import { anyFits, largestFreeCpu, smallestCpuNeed } from './capacityPrecheck.js'
 import { STALL_SLOWNESS, slownessOf, healthyRunMs } from './speed.js'
 import type { FrontSession, OwnedJob, OwnedStep, OwnedTask } from './types.js'
 
@@ -38,7 +38,7 @@
 
 /** Outgoing calls of the execution decision, to fronts and to shard ownership. */
 export interface ExecutionPorts {
-  tell (front: FrontSession, message: ShardMessage): void
+  sendToFront (front: FrontSession, message: ShardMessage): void
   superseded (failureDomain: FailureDomain, token: FencingToken): void
   /** Returns false while runs of an earlier owner may exist that this owner has not yet seen. */
   earlierRunsKnown (failureDomain: FailureDomain): boolean
@@ -50,7 +50,7 @@
   readonly admission = new AdmissionDecider<OwnedJob>()
   private startRoundNeeded = false
   private nextReassessmentAt = ms(0)
-  private cachedRoom: { readonly at: Ms, readonly room: ShardRoom } | undefined
+  private cachedRoom: { readonly at: Ms, readonly room: ShardCapacity } | undefined
   endpoints!: EndpointsDecider
 
   constructor (private readonly ctx: ShardContext, private readonly placement: PlacementDecider, private readonly ports: ExecutionPorts) {}
@@ -65,7 +65,7 @@
     }
     const outcome = this.db.outcomeOf(id)
     if (outcome !== undefined) {
-      this.ports.tell(front, { type: 'ended', jobId: id, outcome })
+      this.ports.sendToFront(front, { type: 'ended', jobId: id, outcome })
       return
     }
     const job = this.makeJob(front, failureDomain, order)
@@ -84,19 +84,19 @@
       if (job.front.instance !== instance) continue
       if (incarnation !== undefined && job.front.incarnation === incarnation) continue
       this.abandon(job, 'frontLost')
-      this.ports.tell(job.front, { type: 'notOwner', jobId: job.id, failureDomain: job.failureDomain })
+      this.ports.sendToFront(job.front, { type: 'notOwner', jobId: job.id, failureDomain: job.failureDomain })
     }
   }
 
   /** @returns the instances that answer to the callers of the jobs held here */
-  fronts (): Set<InstanceId> {
+  frontInstances (): Set<InstanceId> {
     const fronts = new Set<InstanceId>()
     for (const { front } of this.db.jobs.values()) fronts.add(front.instance)
     return fronts
   }
 
   /** Answers a front that checks on jobs it still wants: resends the outcome of ended jobs and reports unknown ones, which it has to resubmit. */
-  check (front: FrontSession, failureDomain: FailureDomain, ids: readonly JobId[]): void {
+  confirmJobs (front: FrontSession, failureDomain: FailureDomain, ids: readonly JobId[]): void {
     for (const id of ids) {
       const job = this.db.jobs.get(id)
       if (job !== undefined) {
@@ -104,18 +104,18 @@
         continue
       }
       const outcome = this.db.outcomeOf(id)
-      this.ports.tell(front, outcome === undefined ? { type: 'notOwner', jobId: id, failureDomain } : { type: 'ended', jobId: id, outcome })
+      this.ports.sendToFront(front, outcome === undefined ? { type: 'notOwner', jobId: id, failureDomain } : { type: 'ended', jobId: id, outcome })
     }
   }
 
   /** Forgets all jobs, for example after a process pause during which their fronts may have given them up. */
-  dropAll (): void {
+  forgetAllJobs (): void {
     for (const job of [...this.db.jobs.values()]) this.forget(job)
-    this.endpoints.disown()
+    this.endpoints.unclaimRuns()
   }
 
   /** Forgets the jobs of a shard without stopping their runs, and returns the finished tasks of each job by front. */
-  release (failureDomain: FailureDomain): Map<FrontSession, JobProgress[]> {
+  releaseShard (failureDomain: FailureDomain): Map<FrontSession, JobProgress[]> {
     const byFront = new Map<FrontSession, JobProgress[]>()
     for (const job of [...this.db.jobs.values()]) {
       if (job.failureDomain !== failureDomain) continue
@@ -136,7 +136,7 @@
   }
 
   /** Starts waiting tasks if jobs or capacity have changed since the last call. */
-  pump (): void {
+  startWaitingTasks (): void {
     if (!this.startRoundNeeded) return
     this.startRoundNeeded = false
     if (this.admission.db.waiting.size === 0) return
@@ -154,13 +154,13 @@
   }
 
   /** @returns total and free capacity of all usable endpoints, at most `ROOM_CACHE_MS` old */
-  room (): ShardRoom {
+  capacity (): ShardCapacity {
     const { now } = this.ctx
     if (this.cachedRoom === undefined || now - this.cachedRoom.at >= ROOM_CACHE_MS) this.cachedRoom = { at: now, room: this.countRoom() }
     return this.cachedRoom.room
   }
 
-  private countRoom (): ShardRoom {
+  private countRoom (): ShardCapacity {
     let totalCpuMilli = 0
     let freeCpuMilli = 0
     for (const endpoint of this.endpoints.db.all()) {
@@ -176,7 +176,7 @@
     if (found === undefined || found.task.run !== run) this.endpoints.stop(run)
   }
 
-  runEnded (run: LedgerRun, how: RunEnd, seenAtOnce: boolean): void {
+  runEnded (run: LedgerRun, how: RunEnd, endTimeKnown: boolean): void {
     this.startRoundNeeded = true
     const found = this.db.find(run.task)
     if (how === 'done') this.ctx.out.count('shard.tasks.done')
@@ -184,7 +184,7 @@
     if (found === undefined || found.task.run !== run) return
     found.task.run = undefined
     switch (how) {
-      case 'done': return this.taskDone(found.job, found.task, run, seenAtOnce)
+      case 'done': return this.taskDone(found.job, found.task, run, endTimeKnown)
       case 'failed': return this.taskFailed(found.job, found.task, run)
       case 'stopped':
       case 'lapsed': return this.requeue(found.job)
@@ -237,7 +237,7 @@
   private makeJob (front: FrontSession, failureDomain: FailureDomain, order: DispatchOrder): OwnedJob {
     const { now, cfg } = this.ctx
     const { queue, job } = order
-    const criticalPathMs = chainOf(job.steps, this.admission.db.ratioOf(queue.name))
+    const criticalPathMs = criticalPathOf(job.steps, this.admission.db.ratioOf(queue.name))
     const sentAt = now - order.ageMs
     const objective = objectiveOf(queue, criticalPathMs)
     const steps = makeSteps(order)
@@ -286,15 +286,15 @@
 
   private admit (job: OwnedJob): boolean {
     if (!this.canFit(job)) return this.decline(job, 'cannotFit', this.ctx.cfg.ownerWaitMs)
-    const verdict = this.admission.decide(job, this.room(), this.ctx.now)
+    const verdict = this.admission.decide(job, this.capacity(), this.ctx.now)
     return verdict.type === 'admit' || this.decline(job, 'overloaded', verdict.retryAfterMs)
   }
 
   private decline (job: OwnedJob, why: string, retryAfterMs: Ms): false {
     const { out, now } = this.ctx
     out.count('shard.jobs.declined')
-    out.log('job.declined', { job: job.id, why, front: job.front.instance, queue: job.order.queue.name, waitedMs: Math.round(now - job.receivedAt), backlogMs: Math.round(this.admission.backlogMs(this.room())), waitingJobs: this.admission.db.waiting.size })
-    this.ports.tell(job.front, { type: 'declined', jobId: job.id, attempt: job.attempt, retryAfterMs })
+    out.log('job.declined', { job: job.id, why, front: job.front.instance, queue: job.order.queue.name, waitedMs: Math.round(now - job.receivedAt), backlogMs: Math.round(this.admission.backlogMs(this.capacity())), waitingJobs: this.admission.db.waiting.size })
+    this.ports.sendToFront(job.front, { type: 'declined', jobId: job.id, attempt: job.attempt, retryAfterMs })
     return false
   }
 
@@ -402,12 +402,12 @@
     out.push({ type: 'observe', histogram: 'queueWaitMs', label: job.order.queue.name, valueMs: now - job.receivedAt })
   }
 
-  private taskDone (job: OwnedJob, task: OwnedTask, run: LedgerRun, seenAtOnce: boolean): void {
+  private taskDone (job: OwnedJob, task: OwnedTask, run: LedgerRun, endTimeKnown: boolean): void {
     const step = job.steps[task.step]
     if (step === undefined || task.done) return
     task.done = true
     step.unfinishedTasks--
-    if (seenAtOnce && run.foundPercent === undefined) this.learnFromRun(job, step, run)
+    if (endTimeKnown && run.foundPercent === undefined) this.learnFromRun(job, step, run)
     if (job.steps.every(s => s.unfinishedTasks === 0)) this.end(job, 'completed')
   }
 
@@ -464,7 +464,7 @@
     const { now, out } = this.ctx
     this.db.keepOutcome(job.id, outcome, now)
     out.log('job.ended', { job: job.id, outcome, queue: job.order.queue.name, front: job.front.instance, tookMs: Math.round(now - job.receivedAt), waitedMs: Math.round((job.firstStartAt ?? now) - job.receivedAt), onTime: now <= job.onTimeUntil })
-    this.ports.tell(job.front, { type: 'ended', jobId: job.id, outcome })
+    this.ports.sendToFront(job.front, { type: 'ended', jobId: job.id, outcome })
     this.stopRuns(job)
     this.forget(job)
   }
@@ -501,7 +501,7 @@
   }
 
   /** The front has not confirmed the job within its lease: it may have given the job up without being able to say so. Its caller resends the job to any front. */
-  private isUnwanted (job: OwnedJob): boolean {
+  private isConfirmationExpired (job: OwnedJob): boolean {
     return this.ctx.now - job.confirmedAt > this.ctx.cfg.jobLeaseMs
   }
 
@@ -511,7 +511,7 @@
       this.abandon(job, 'callerDeadline')
       return
     }
-    if (this.isUnwanted(job)) this.abandon(job, 'unconfirmed')
+    if (this.isConfirmationExpired(job)) this.abandon(job, 'unconfirmed')
   }
 
   /** Declines waiting jobs that can no longer finish in time because other jobs overtook them or capacity was lost. */
@@ -519,7 +519,7 @@
     const { now } = this.ctx
     if (now < this.nextReassessmentAt || this.admission.db.waiting.size === 0) return
     this.nextReassessmentAt = ms(now + REASSESS_INTERVAL_MS)
-    const room = this.room()
+    const room = this.capacity()
     const tooLate = this.admission.jobsToDecline(room, now)
     for (const job of tooLate) this.forget(job)
     for (const job of tooLate) this.decline(job, 'tooLate', this.admission.retryAfter(room))
--- a/packages/core/src/instance/instance.ts
+++ b/packages/core/src/instance/instance.ts
@@ -14,8 +14,8 @@
 import type { OwnReport } from '../membership/membershipDecider.js'
 import { RosterDecider } from '../roster/rosterDecider.js'
 import { RoutingDecider } from '../routing/routingDecider.js'
-import { SchedulingDecider, failed } from '../scheduling/schedulingDecider.js'
-import type { SchedulingParts } from '../scheduling/schedulingDecider.js'
+import { SchedulingDecider, failedAnswer } from '../scheduling/schedulingDecider.js'
+import type { SchedulingDependencies } from '../scheduling/schedulingDecider.js'
 import type { JobOrder } from '../scheduling/types.js'
 import { Chart } from '../utils/chart.js'
 import { seededRandom } from '../utils/random.js'
@@ -70,7 +70,7 @@
     this.deduplication = new DeduplicationDecider(ctx, this.membership, () => this.limits.isAcknowledged, (id, outcome) => this.jobs.claimEnded(id, outcome))
     this.jobs = this.makeJobs()
     this.roster = new RosterDecider(ctx, this.membership, this.contracts, this.limits, () => this.deduplication.readyEpoch)
-    this.contracts.onAdopt({ fleetAdopted: (fleet, previous) => this.fleetAdopted(fleet, previous) })
+    this.contracts.addFleetListener({ fleetAdopted: (fleet, previous) => this.fleetAdopted(fleet, previous) })
   }
 
   /**
@@ -109,14 +109,14 @@
       case 'startOutcome': return this.scheduling.startOutcome(input.taskId, input.outcome)
       case 'renewOutcome': return this.scheduling.renewOutcome(input.tasks, input.renewed)
       case 'probeOutcome': return this.probed(input)
-      case 'storeValue': return this.contracts.storeValue(input.source, input.revision, input.fleet)
-      case 'storeUnchanged': return this.contracts.storeUnchanged()
-      case 'storeFailed': return this.contracts.storeFailed(input.operation)
+      case 'storeValue': return this.contracts.receiveStoreValue(input.source, input.revision, input.fleet)
+      case 'storeUnchanged': return this.contracts.receiveStoreUnchanged()
+      case 'storeFailed': return this.contracts.receiveStoreFailure(input.operation)
       case 'casOutcome': return this.contracts.casOutcome(input.attempt, input.result)
       case 'archiveOutcome': return this.contracts.archiveOutcome(input.through, input.ok)
       case 'instanceList': return this.instanceList(input)
       case 'peers': return this.fixPeers(input)
-      case 'change': return this.contracts.change(input.callId, input.request)
+      case 'change': return this.contracts.receiveChange(input.callId, input.request)
       case 'leave': return this.leave()
     }
   }
@@ -124,8 +124,8 @@
   private receive (from: InstanceId, message: PeerMessage): void {
     switch (message.type) {
       case 'gossip':
-        this.membership.receive(from, message.entries, message.fleetVersion)
-        return this.contracts.hearVersion(from, message.fleetVersion)
+        this.membership.receiveGossip(from, message.entries, message.fleetVersion)
+        return this.contracts.receiveVersion(from, message.fleetVersion)
       case 'fleetRequest': return this.contracts.sendFleet(from)
       case 'fleet': return this.contracts.receiveFleet(from, message.fleet, message.storeRevision, message.confirmed)
       case 'forward': return this.receiveForward(from, message.job)
@@ -133,12 +133,12 @@
       case 'forwardCheck': return this.receiveCheck(from, message)
       case 'forwardReturn': return this.jobs.returned(message.submissionId, from)
       case 'forwardAnswer': return this.jobs.answered(message.answer)
-      case 'answerRequest': return this.jobs.receiveQuestion(from, message.customer, message.submissionId, message.replyTo)
-      case 'answerReply': return this.jobs.receiveReply(message.replyTo, message.answer, message.pending)
+      case 'answerRequest': return this.jobs.receiveAnswerRequest(from, message.customer, message.submissionId, message.replyTo)
+      case 'answerReply': return this.jobs.receiveAnswerReply(message.replyTo, message.answer, message.pending)
       case 'permitRequest': return this.limits.receiveRequest(from, message)
       case 'permitGrant':
         this.limits.receiveGrant(message)
-        return this.scheduling.pump()
+        return this.scheduling.startWaitingTasks()
       case 'claimRequest': return this.deduplication.receiveRequest(from, message.epoch, message.claim)
       case 'claimVote': return this.deduplication.receiveVote(from, message.epoch, message.submissionId, message.verdict)
       case 'claimRelease': return this.deduplication.receiveRelease(message.customer, message.requestId, message.submissionId)
@@ -211,7 +211,7 @@
     const terms = this.contracts.db.terms(customer, job.kind)
     const weight = this.contracts.db.contract(customer)?.weight ?? 1
     if (this.state !== 'serving' || terms === undefined) {
-      this.membership.tell(from, { type: 'forwardReturn', submissionId })
+      this.membership.send(from, { type: 'forwardReturn', submissionId })
       return
     }
     const deadline = ms(this.ctx.now + remainingMs)
@@ -227,8 +227,8 @@
     if (scheduler !== this.ctx.self.holder) return
     const state = this.scheduling.checkForwarded(submissionId, ageMs)
     switch (state.type) {
-      case 'ended': return this.membership.tell(from, { type: 'forwardAnswer', answer: state.answer })
-      case 'neverArrived': return this.membership.tell(from, { type: 'forwardReturn', submissionId })
+      case 'ended': return this.membership.send(from, { type: 'forwardAnswer', answer: state.answer })
+      case 'neverArrived': return this.membership.send(from, { type: 'forwardReturn', submissionId })
       case 'held':
       case 'forgotten':
     }
@@ -241,13 +241,13 @@
 
   private linkDown (peer: InstanceId): void {
     this.membership.db.markLinkDown(peer)
-    this.jobs.doubt(peer)
+    this.jobs.checkForwardedJobs(peer)
     this.routing.refresh()
   }
 
   private probed (input: Extract<Input, { type: 'probeOutcome' }>): void {
     this.health.probed(input.endpoint, input.healthy)
-    this.scheduling.pump()
+    this.scheduling.startWaitingTasks()
   }
 
   private fixPeers (input: Extract<Input, { type: 'peers' }>): void {
@@ -258,12 +258,12 @@
     for (const peer of input.peers) {
       if (peer.instance !== this.ctx.self.instance) this.membership.db.learnAddress(peer.instance, peer.address)
     }
-    this.routing.listEndpoints(input.endpoints)
+    this.routing.adoptEndpointList(input.endpoints)
   }
 
   private makeScheduling (): SchedulingDecider {
     const { limits, routing, health, deadlines } = this
-    const bounds: SchedulingParts['bounds'] = customer => this.contracts.db.contract(customer)?.limits
+    const bounds: SchedulingDependencies['bounds'] = customer => this.contracts.db.contract(customer)?.limits
     return new SchedulingDecider(this.ctx, { limits, routing, health, deadlines, bounds }, {
       jobAnswered: (order, answer) => this.deliver(order, answer),
       jobReturned: order => this.giveBack(order)
@@ -280,17 +280,17 @@
       this.jobs.answered(answer)
       return
     }
-    this.scheduling.db.keepAnswer(answer, this.ctx.now)
-    this.membership.tell(order.front, { type: 'forwardAnswer', answer })
+    this.scheduling.db.retainAnswer(answer, this.ctx.now)
+    this.membership.send(order.front, { type: 'forwardAnswer', answer })
   }
 
   /** A leaving instance places its own jobs with others; with nobody left it says truthfully that they did not run. */
   private giveBack (order: JobOrder): void {
     if (order.front !== undefined) {
-      this.membership.tell(order.front, { type: 'forwardReturn', submissionId: order.submissionId })
+      this.membership.send(order.front, { type: 'forwardReturn', submissionId: order.submissionId })
       return
     }
     if (this.membership.serving().length > 0) this.jobs.returnedHere(order.submissionId)
-    else this.jobs.answered(failed(order.submissionId, { name: 'leaving', message: 'the instance is leaving; not run', ran: 'no' }))
+    else this.jobs.answered(failedAnswer(order.submissionId, { name: 'leaving', message: 'the instance is leaving; not run', ran: 'no' }))
   }
 }
--- a/packages/core/src/instance/status.ts
+++ b/packages/core/src/instance/status.ts
@@ -2,7 +2,7 @@
  * The report behind `cranberryyard status`: plain data, composed from the decisions without changing them.
  */
 import type { CustomerId, EndpointId, FailureDomain, InstanceId } from '@cranberryyard/protocol'
-import { orderOf } from '../contracts/changeRules.js'
+import { endpointOrderOf } from '../contracts/changeRules.js'
 import type { Instance } from './instance.js'
 import type { TimelinessCount } from './types.js'
 
@@ -85,7 +85,7 @@
     rosterEpoch: fleet.roster.epoch,
     roster: fleet.roster.entries.map(e => e.holder),
     claimsKept: deduplication.db.size(),
-    claimBucketsImporting: deduplication.importing(),
+    claimBucketsImporting: deduplication.importingBuckets(),
     instances: instanceRows(instance, state),
     endpoints: endpointRows(instance),
     customers: customerRows(instance),
@@ -125,7 +125,7 @@
     rack: e.info.rack,
     slots: e.info.slots,
     running: e.running,
-    order: orderOf(contracts.db.fleet, e.info.id),
+    order: endpointOrderOf(contracts.db.fleet, e.info.id),
     health: health.db.record(e.info.id).state,
     leaving: e.info.leaving
   }))
--- a/packages/core/src/intake/intakeDecider.spec.ts
+++ b/packages/core/src/intake/intakeDecider.spec.ts
@@ -22,14 +22,14 @@
 
 function setUp (): { ctx: ShardContext, intake: IntakeDecider, sessions: SessionsDecider, sent: ShardMessage[], replies: () => CallerReply[] } {
   const ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: DOMAIN, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(1000) }
-  const sessions = new SessionsDecider(ctx, () => 3, { peerLost: () => {}, peerHeard: () => {} })
+  const sessions = new SessionsDecider(ctx, () => 3, { peerLost: () => {}, peerRecovered: () => {} })
   const desired = new DesiredDecider(ctx, () => {}, () => true)
-  desired.take(STATE, 'test')
-  sessions.heard(OWNER, 1, 'owner')
+  desired.adopt(STATE, 'test')
+  sessions.messageReceived(OWNER, 1, 'owner')
   sessions.db.learnOwner({ failureDomain: DOMAIN, owner: OWNER, token: 1 as FencingToken })
   const sent: ShardMessage[] = []
   const intake = new IntakeDecider(ctx, desired, sessions, (_to, message) => sent.push(message))
-  const replies = (): CallerReply[] => ctx.out.take().flatMap(effect => effect.type === 'reply' ? [effect.reply] : [])
+  const replies = (): CallerReply[] => ctx.out.takeEffects().flatMap(effect => effect.type === 'reply' ? [effect.reply] : [])
   return { ctx, intake, sessions, sent, replies }
 }
 
@@ -66,15 +66,15 @@
   it('resumes a job at the next owner of its shard, and reports it as lost when there is none', () => {
     const { ctx, intake, sessions, sent, replies } = setUp()
     intake.submit('c1', 'h', '/q/a', job('a', 2000), ms(9000))
-    sessions.unreachable(OWNER)
+    sessions.connectionFailed(OWNER)
     intake.ownerLost(OWNER)
     const next = 'next' as InstanceId
-    sessions.heard(next, 1, 'next')
+    sessions.messageReceived(next, 1, 'next')
     sessions.db.learnOwner({ failureDomain: DOMAIN, owner: next, token: 2 as FencingToken })
     intake.ownerKnown(DOMAIN)
     const last = sent.at(-1)
     expect(last?.type === 'submit' && last.order.resumed).to.equal(true)
-    sessions.unreachable(next)
+    sessions.connectionFailed(next)
     intake.ownerLost(next)
     ctx.now = ms(ctx.now + SHARD_DEFAULTS.ownerWaitMs + 1)
     intake.tick()
@@ -87,7 +87,7 @@
     // On time within 1.5 x 100 + 50 ms, of use within three times that.
     const usefulMs = 600
     intake.submit('c1', 'h', '/q/a', job('a'), ms(9000))
-    sessions.unreachable(OWNER)
+    sessions.connectionFailed(OWNER)
     intake.ownerLost(OWNER)
     intake.submit('c2', 'h', '/q/b', job('b'), ms(9000))
     ctx.now = ms(ctx.now + usefulMs)
@@ -127,7 +127,7 @@
   it('refuses even short jobs that arrive long after the request to stop', () => {
     const { ctx, intake, sent, replies } = setUp()
     intake.leave()
-    ctx.now = ms(ctx.now + SHARD_DEFAULTS.leaveTakeMs + 1)
+    ctx.now = ms(ctx.now + SHARD_DEFAULTS.leaveAcceptMs + 1)
     intake.submit('c1', 'h', '/q/a', job('a', 60), ms(1500))
     expect(replies().map(reply => reply.type === 'refused' && reply.cause)).to.deep.equal(['leaving'])
     expect(sent).to.deep.equal([])
--- a/packages/core/src/intake/intakeDecider.ts
+++ b/packages/core/src/intake/intakeDecider.ts
@@ -7,7 +7,7 @@
 import type { FailureDomain, InstanceId, JobId, JobOutcome, JobProgress, JobRequest, Ms, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import type { DesiredDecider } from '../desired/desiredDecider.js'
-import { chainOf, objectiveOf } from '../execution/executionDb.js'
+import { criticalPathOf, objectiveOf } from '../execution/executionDb.js'
 import type { SessionsDecider } from '../sessions/sessionsDecider.js'
 import type { CallerReply, RefusalCause, ShardContext } from '../shard/types.js'
 import { IntakeDb } from './intakeDb.js'
@@ -60,8 +60,8 @@
       job: request,
       queue,
       receivedAt: now,
-      callerUntil: ms(now + deadlineMs),
-      usefulUntil: ms(now + objectiveOf(queue, chainOf(request.steps, 1)) * cfg.usefulFactor),
+      callerDeadline: ms(now + deadlineMs),
+      usefulUntil: ms(now + objectiveOf(queue, criticalPathOf(request.steps, 1)) * cfg.usefulFactor),
       calls: new Set(),
       declinedBy: new Set(),
       retryAfterMs: NO_OWNER_RETRY_MS,
@@ -106,7 +106,7 @@
   }
 
   /** Called when an owner does not know the job or no longer owns the shard. */
-  unknownAt (id: JobId, from: InstanceId, failureDomain: FailureDomain): void {
+  jobUnknownAtOwner (id: JobId, from: InstanceId, failureDomain: FailureDomain): void {
     const job = this.db.jobs.get(id)
     if (job?.location.type !== 'atOwner' || job.location.owner !== from || job.location.failureDomain !== failureDomain) return
     this.detach(job, failureDomain)
@@ -116,7 +116,7 @@
   }
 
   /** Called when a shard's owner leaves and reports which tasks are done of the jobs that its successor resumes. */
-  moved (from: InstanceId, failureDomain: FailureDomain, progress: readonly JobProgress[]): void {
+  shardMoved (from: InstanceId, failureDomain: FailureDomain, progress: readonly JobProgress[]): void {
     const shard = this.sessions.db.shards.get(failureDomain)
     if (shard?.owner === from) shard.disowned = true
     for (const { jobId, done } of progress) {
@@ -164,7 +164,7 @@
   }
 
   /** Gives up every job after a pause of this process, during which callers may have sent them elsewhere. */
-  loseAll (): void {
+  giveUpAll (): void {
     for (const job of [...this.db.jobs.values()]) this.giveUp(job)
   }
 
@@ -172,7 +172,7 @@
     const { now, cfg } = this.ctx
     if (this.leavingSince === undefined) return true
     const elapsedMs = now - this.leavingSince
-    return elapsedMs <= cfg.leaveTakeMs && elapsedMs + LEAVING_WAIT_MS + chainOf(request.steps, LEAVING_ESTIMATE_FACTOR) <= cfg.leaveMs
+    return elapsedMs <= cfg.leaveAcceptMs && elapsedMs + LEAVING_WAIT_MS + criticalPathOf(request.steps, LEAVING_ESTIMATE_FACTOR) <= cfg.leaveMs
   }
 
   private place (job: FrontedJob): void {
@@ -211,7 +211,7 @@
     job.location = { type: 'atOwner', failureDomain, owner, since: now }
     job.checkedAt = now
     job.attempt++
-    const order = { job: job.job, queue: job.queue, attempt: job.attempt, ageMs: ms(now - job.receivedAt), remainingMs: ms(job.callerUntil - now), resumed, done: job.done }
+    const order = { job: job.job, queue: job.queue, attempt: job.attempt, ageMs: ms(now - job.receivedAt), remainingMs: ms(job.callerDeadline - now), resumed, done: job.done }
     this.deliver(owner, { type: 'submit', incarnation: self.incarnation, address: self.address, failureDomain, order })
   }
 
@@ -222,7 +222,7 @@
 
   private tickJob (job: FrontedJob): void {
     const { location } = job
-    if (this.ctx.now > job.callerUntil) {
+    if (this.ctx.now > job.callerDeadline) {
       this.giveUp(job)
     } else if (location.type === 'detached') {
       if (this.sessions.ownerOf(location.failureDomain) !== undefined) this.ownerKnown(location.failureDomain)
--- a/packages/core/src/intake/types.ts
+++ b/packages/core/src/intake/types.ts
@@ -19,7 +19,7 @@
   readonly queue: QueueTerms
   readonly receivedAt: Ms
   /** The caller's deadline. */
-  readonly callerUntil: Ms
+  readonly callerDeadline: Ms
   /** Time after which an answer is of no use to the caller. */
   readonly usefulUntil: Ms
   /** Ids of the calls that wait for the outcome; several when a caller has sent the same job more than once. */
--- a/packages/core/src/jobs/jobsDecider.ts
+++ b/packages/core/src/jobs/jobsDecider.ts
@@ -13,7 +13,7 @@
 import type { MembershipDecider } from '../membership/membershipDecider.js'
 import type { RoutingDecider } from '../routing/routingDecider.js'
 import type { SchedulingDecider } from '../scheduling/schedulingDecider.js'
-import { failed } from '../scheduling/schedulingDecider.js'
+import { failedAnswer } from '../scheduling/schedulingDecider.js'
 import type { JobFailure, JobOrder } from '../scheduling/types.js'
 import { Chart } from '../utils/chart.js'
 import { JobsDb } from './jobsDb.js'
@@ -25,7 +25,7 @@
 const EARLIER_ANSWER_POLL_MS = 150
 
 /** The other decisions that the job decision depends on. */
-export interface JobParts {
+export interface JobDependencies {
   readonly contracts: ContractsDecider
   readonly deduplication: DeduplicationDecider
   readonly membership: MembershipDecider
@@ -40,7 +40,7 @@
   private readonly chart = new Chart<JobState, JobEvent>('job')
   private submissionCounter = 0
 
-  constructor (private readonly ctx: Context, private readonly parts: JobParts) {}
+  constructor (private readonly ctx: Context, private readonly parts: JobDependencies) {}
 
   /**
    * Accepts or refuses a submission, or attaches the call to an earlier submission of the same request.
@@ -80,7 +80,7 @@
       this.refuse(callId, codedError('unknownSubmission', `no submission ${submissionId} of this customer is in flight at this instance`))
       return
     }
-    job.waiting.push(callId)
+    job.waitingCalls.push(callId)
     this.cancelJob(job)
   }
 
@@ -128,18 +128,18 @@
   }
 
   /** Replies to a peer that requests the answer to a submission of this instance. */
-  receiveQuestion (from: InstanceId, customer: CustomerId, submissionId: SubmissionId, replyTo: string): void {
+  receiveAnswerRequest (from: InstanceId, customer: CustomerId, submissionId: SubmissionId, replyTo: string): void {
     const retained = this.db.answerOf(submissionId)
     const answer = retained?.customer === customer ? retained.answer : null
     const pending = this.db.get(submissionId)?.customer === customer
-    this.parts.membership.tell(from, { type: 'answerReply', replyTo, answer, pending })
+    this.parts.membership.send(from, { type: 'answerReply', replyTo, answer, pending })
   }
 
   /**
    * Handles a peer's reply about one of its submissions, for a waiting call or for a later submission of the same
    * request.
    */
-  receiveReply (replyTo: string, answer: Answer | null, pending: boolean): void {
+  receiveAnswerReply (replyTo: string, answer: Answer | null, pending: boolean): void {
     const job = this.db.get(replyTo as SubmissionId)
     if (job !== undefined) this.earlierAnswerReceived(job, answer, pending)
     else this.replyToCall(replyTo, answer, pending)
@@ -148,7 +148,7 @@
   /**
    * Schedules checks of jobs forwarded over a connection that broke, because forwards and answers on it may be lost.
    */
-  doubt (scheduler: InstanceId): void {
+  checkForwardedJobs (scheduler: InstanceId): void {
     for (const job of this.db.all()) {
       if (job.state === 'forwarded' && job.scheduler?.instance === scheduler) job.checkAt ??= this.ctx.now
     }
@@ -192,7 +192,7 @@
     if (earlier === undefined) return false
     const inFlight = this.db.get(earlier)
     if (inFlight !== undefined) {
-      inFlight.waiting.push(callId)
+      inFlight.waitingCalls.push(callId)
       this.ctx.out.push({ type: 'accepted', callId, submissionId: earlier })
       this.ctx.out.count('jobs.resubmitted')
       return true
@@ -218,7 +218,7 @@
       acceptedAt: now,
       deadline: ms(now + terms.answerWithinMs),
       state: this.chart.initial,
-      waiting: [callId],
+      waitingCalls: [callId],
       scheduler: undefined,
       forwardedAt: now,
       checkAt: undefined,
@@ -232,7 +232,7 @@
       this.applyEvent(job, 'claimed')
       this.place(job)
     } else {
-      this.parts.deduplication.begin(customer, spec.requestId as never, submissionId)
+      this.parts.deduplication.beginAttempt(customer, spec.requestId as never, submissionId)
     }
   }
 
@@ -258,7 +258,7 @@
     const { submissionId, customer, job: spec } = job
     this.ctx.out.count('jobs.forwarded')
     const remainingMs = ms(job.deadline - this.ctx.now)
-    this.parts.membership.tell(to, { type: 'forward', job: { submissionId, customer, job: spec, remainingMs } })
+    this.parts.membership.send(to, { type: 'forward', job: { submissionId, customer, job: spec, remainingMs } })
   }
 
   private orderOf (job: FrontJob): JobOrder {
@@ -271,7 +271,7 @@
     const failure: JobFailure = { name: 'cancelledBeforeStart', message: 'cancelled by the caller; not run', ran: 'no' }
     switch (job.state) {
       case 'claiming':
-        this.parts.deduplication.abandon(job.submissionId)
+        this.parts.deduplication.abandonAttempt(job.submissionId)
         this.fail(job, 'refuse', failure)
         return
       case 'placing':
@@ -289,7 +289,7 @@
 
   private sendCancel (job: FrontJob): void {
     const { scheduler, submissionId } = job
-    if (scheduler !== undefined) this.parts.membership.tell(scheduler.instance, { type: 'forwardCancel', submissionId })
+    if (scheduler !== undefined) this.parts.membership.send(scheduler.instance, { type: 'forwardCancel', submissionId })
   }
 
   /**
@@ -317,7 +317,7 @@
     }
     earlier.nextRequestAt = ms(this.ctx.now + EARLIER_ANSWER_POLL_MS)
     const { submissionId, customer } = job
-    this.parts.membership.tell(member.instance, { type: 'answerRequest', submissionId: earlier.submissionId, customer, replyTo: submissionId })
+    this.parts.membership.send(member.instance, { type: 'answerRequest', submissionId: earlier.submissionId, customer, replyTo: submissionId })
   }
 
   private earlierAnswerReceived (job: FrontJob, answer: Answer | null, pending: boolean): void {
@@ -354,13 +354,13 @@
     if (job.state !== 'forwarded' || scheduler === undefined || checkAt === undefined || this.ctx.now < checkAt) return
     job.checkAt = ms(this.ctx.now + FORWARD_CHECK_PERIOD_MS)
     const holder = holderId(scheduler.instance, scheduler.incarnation)
-    this.parts.membership.tell(scheduler.instance, { type: 'forwardCheck', scheduler: holder, submissionId, ageMs: ms(this.ctx.now - job.forwardedAt) })
+    this.parts.membership.send(scheduler.instance, { type: 'forwardCheck', scheduler: holder, submissionId, ageMs: ms(this.ctx.now - job.forwardedAt) })
   }
 
   private giveUp (job: FrontJob): void {
     switch (job.state) {
       case 'claiming':
-        this.parts.deduplication.abandon(job.submissionId)
+        this.parts.deduplication.abandonAttempt(job.submissionId)
         this.refuseDuplicate(job)
         return
       case 'scheduledHere':
@@ -388,7 +388,7 @@
   }
 
   private fail (job: FrontJob, event: JobEvent, failure: JobFailure): void {
-    this.finish(job, event, failed(job.submissionId, failure))
+    this.finish(job, event, failedAnswer(job.submissionId, failure))
   }
 
   private finish (job: FrontJob, event: JobEvent, answer: Answer): void {
@@ -398,7 +398,7 @@
     this.db.retain(job, answer, ms(now + cfg.jobs.retentionMs))
     this.db.countTimeliness(job.customer, job.job.kind, timelinessOf(answer, now > job.deadline))
     out.count(answer.outcome === 'complete' ? 'jobs.complete' : isNotRun(answer.code) ? 'jobs.refused' : 'jobs.failed')
-    for (const callId of job.waiting) out.push({ type: 'answer', callId, answer })
+    for (const callId of job.waitingCalls) out.push({ type: 'answer', callId, answer })
   }
 
   private applyEvent (job: FrontJob, event: JobEvent): void {
@@ -422,7 +422,7 @@
       this.replyToCall(callId, null, false)
       return
     }
-    this.parts.membership.tell(home, { type: 'answerRequest', submissionId, customer, replyTo: callId })
+    this.parts.membership.send(home, { type: 'answerRequest', submissionId, customer, replyTo: callId })
   }
 
   private replyToCall (callId: string, answer: Answer | null, pending: boolean, submissionId?: SubmissionId): void {
--- a/packages/core/src/jobs/types.ts
+++ b/packages/core/src/jobs/types.ts
@@ -17,7 +17,7 @@
   readonly deadline: Ms
   state: JobState
   /** Ids of the calls that wait for the answer. */
-  readonly waiting: string[]
+  readonly waitingCalls: string[]
   /** Instance and incarnation that the job was last forwarded to. */
   scheduler: { readonly instance: InstanceId, readonly incarnation: number } | undefined
   forwardedAt: Ms
--- a/packages/core/src/limits/limitsDecider.ts
+++ b/packages/core/src/limits/limitsDecider.ts
@@ -113,20 +113,20 @@
    * @param customer - the task's customer
    * @returns true when the task may start
    */
-  tryStart (customer: CustomerId): boolean {
-    if (this.free(customer) <= 0) return false
+  tryAcquirePermit (customer: CustomerId): boolean {
+    if (this.freePermits(customer) <= 0) return false
     if (!this.takeToken(customer)) return false
     this.db.addRunning(customer, 1)
     return true
   }
 
   /** Releases the permit of a task that has ended or is known not to have started. */
-  release (customer: CustomerId): void {
+  releasePermit (customer: CustomerId): void {
     this.db.addRunning(customer, -1)
   }
 
   /** @returns how many more tasks of a customer may start now; negative while running tasks exceed the permits */
-  free (customer: CustomerId): number {
+  freePermits (customer: CustomerId): number {
     return this.usablePermits(customer) - this.db.runningOf(customer)
   }
 
@@ -136,15 +136,15 @@
   }
 
   /** @returns how many running tasks of a customer exceed the permits; the scheduler does not renew their leases */
-  excess (customer: CustomerId): number {
-    return Math.max(0, -this.free(customer))
+  tasksWithoutPermit (customer: CustomerId): number {
+    return Math.max(0, -this.freePermits(customer))
   }
 
   /**
    * Requests more permits when the scheduler has run out of them, with exponential backoff while no lender has any.
    * @param customers - customers whose tasks wait for permits
    */
-  noteShortage (customers: readonly CustomerId[]): void {
+  reportShortage (customers: readonly CustomerId[]): void {
     const due = customers.filter(c => this.ctx.now >= (this.shortages.get(c)?.nextRequestAt ?? 0))
     if (due.length === 0) return
     for (const customer of due) this.backOffShortage(customer)
--- a/packages/core/src/membership/membershipDecider.ts
+++ b/packages/core/src/membership/membershipDecider.ts
@@ -54,7 +54,7 @@
    * @param to - the receiver
    * @param message - the message
    */
-  tell (to: InstanceId, message: PeerMessage): void {
+  send (to: InstanceId, message: PeerMessage): void {
     const address = this.db.addressOf(to)
     if (address !== undefined) sendPeer(this.ctx, to, address, message)
   }
@@ -72,7 +72,7 @@
    * @param entries - the entries that the sender knows
    * @param fleetVersion - the fleet version that the sender follows
    */
-  receive (from: InstanceId, entries: readonly MemberEntry[], fleetVersion: number): void {
+  receiveGossip (from: InstanceId, entries: readonly MemberEntry[], fleetVersion: number): void {
     const { self } = this.ctx
     const mayAcknowledge = fleetVersion <= this.report().versionKnown
     for (const entry of entries) {
@@ -93,12 +93,12 @@
 
   /** @returns live members that accept new work, without this instance, the earliest incarnation first */
   serving (): Member[] {
-    return this.db.all().filter(m => m.status === 'serving' && this.isLive(m)).sort(byAge)
+    return this.db.all().filter(m => m.status === 'serving' && this.isLive(m)).sort(compareByIncarnation)
   }
 
   /** @returns live members of the own domain of any status, without this instance, the earliest incarnation first */
   liveInDomain (): Member[] {
-    return this.db.all().filter(m => m.failureDomain === this.ctx.self.failureDomain && this.isLive(m)).sort(byAge)
+    return this.db.all().filter(m => m.failureDomain === this.ctx.self.failureDomain && this.isLive(m)).sort(compareByIncarnation)
   }
 
   /**
@@ -151,7 +151,7 @@
       this.nextOwnHeartbeat()
       this.sendToAll(domain, [this.ownEntry()])
     }
-    if (domain.every(m => byAge(this.ctx.self, m) < 0)) this.relayChanges(domain, ownChanged)
+    if (domain.every(m => compareByIncarnation(this.ctx.self, m) < 0)) this.relayChanges(domain, ownChanged)
     this.changedMembers.clear()
   }
 
@@ -167,14 +167,14 @@
 
   private oldestOfOtherDomains (): Member[] {
     const oldest = new Map<FailureDomain, Member>()
-    for (const m of this.db.all().filter(o => this.isLive(o)).sort(byAge)) {
+    for (const m of this.db.all().filter(o => this.isLive(o)).sort(compareByIncarnation)) {
       if (m.failureDomain !== this.ctx.self.failureDomain && !oldest.has(m.failureDomain)) oldest.set(m.failureDomain, m)
     }
     return [...oldest.values()]
   }
 
   private sendToAll (members: readonly Member[], entries: readonly MemberEntry[]): void {
-    for (const member of members) this.tell(member.instance, { type: 'gossip', entries, fleetVersion: this.report().versionKnown })
+    for (const member of members) this.send(member.instance, { type: 'gossip', entries, fleetVersion: this.report().versionKnown })
   }
 
   private lastHeartbeatOf (entry: RosterEntry): Ms | undefined {
@@ -267,7 +267,7 @@
 /**
  * Orders members by incarnation, the earliest first, so that an instance that joins never displaces one with a role.
  */
-export function byAge (a: Pick<Member, 'incarnation' | 'instance'>, b: Pick<Member, 'incarnation' | 'instance'>): number {
+export function compareByIncarnation (a: Pick<Member, 'incarnation' | 'instance'>, b: Pick<Member, 'incarnation' | 'instance'>): number {
   return a.incarnation - b.incarnation || (a.instance < b.instance ? -1 : 1)
 }
 
--- a/packages/core/src/ownership/ownershipDecider.spec.ts
+++ b/packages/core/src/ownership/ownershipDecider.spec.ts
@@ -14,7 +14,7 @@
 
 function setUp (): { ctx: ShardContext, ownership: OwnershipDecider, sessions: SessionsDecider, changes: string[] } {
   const ctx: ShardContext = { self: { ...member('me') }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(1000) }
-  const sessions = new SessionsDecider(ctx, () => 1, { peerLost: () => {}, peerHeard: () => {} })
+  const sessions = new SessionsDecider(ctx, () => 1, { peerLost: () => {}, peerRecovered: () => {} })
   const changes: string[] = []
   const ownership = new OwnershipDecider(ctx, sessions, {
     ownershipGained: (_domain, token) => changes.push(`gained ${token}`),
@@ -27,7 +27,7 @@
 const record = (revision: number, owner: string, ...successors: string[]): Revised<ShardRecord> => ({ revision, value: { failureDomain: DOMAIN, owner: member(owner), successors: successors as InstanceId[] } })
 
 function claims (ctx: ShardContext): Extract<ShardEffect, { type: 'claimShard' }>[] {
-  return ctx.out.take().filter(effect => effect.type === 'claimShard')
+  return ctx.out.takeEffects().filter(effect => effect.type === 'claimShard')
 }
 
 describe('ownership', () => {
@@ -45,10 +45,10 @@
   it('does not claim a shard while its owner is live, and claims it once the owner is lost', () => {
     const { ctx, ownership, sessions } = setUp()
     ownership.recordsRead(members('me', 'owner'), [record(40, 'owner', 'me')])
-    sessions.heard('owner' as InstanceId, 1, 'owner')
+    sessions.messageReceived('owner' as InstanceId, 1, 'owner')
     ownership.tick()
     expect(claims(ctx)).to.deep.equal([])
-    sessions.unreachable('owner' as InstanceId)
+    sessions.connectionFailed('owner' as InstanceId)
     ownership.tick()
     expect(claims(ctx).map(claim => claim.expectedRevision)).to.deep.equal([40])
   })
@@ -56,7 +56,7 @@
   it('delays the claim of a later successor by its rank', () => {
     const { ctx, ownership, sessions } = setUp()
     ownership.recordsRead(members('me', 'owner', 'first'), [record(40, 'owner', 'first', 'me')])
-    sessions.unreachable('owner' as InstanceId)
+    sessions.connectionFailed('owner' as InstanceId)
     ownership.tick()
     expect(claims(ctx)).to.deep.equal([])
     ctx.now = ms(ctx.now + SHARD_DEFAULTS.successionMs)
@@ -67,7 +67,7 @@
   it('takes over by its rank in the record while the store does not answer, with a token above the owner\'s', () => {
     const { ctx, ownership, sessions, changes } = setUp()
     ownership.recordsRead(members('me', 'owner'), [record(40, 'owner', 'me')])
-    sessions.unreachable('owner' as InstanceId)
+    sessions.connectionFailed('owner' as InstanceId)
     ownership.tick()
     const [claim] = claims(ctx)
     ownership.claimOutcome(claim?.claimId ?? 0, { type: 'unavailable' })
@@ -84,7 +84,7 @@
     ownership.claimOutcome(claim?.claimId ?? 0, { type: 'written', revision: 40 })
     ownership.recordsRead(members('me', 'other'), [record(41, 'other', 'me')])
     expect(changes.at(-1)).to.equal('lost to other')
-    sessions.unreachable('other' as InstanceId)
+    sessions.connectionFailed('other' as InstanceId)
     ownership.tick()
     expect(claims(ctx)).to.deep.equal([])
     ctx.now = ms(ctx.now + SHARD_DEFAULTS.reclaimMs)
@@ -98,10 +98,10 @@
     ownership.tick()
     const [claim] = claims(ctx)
     ownership.claimOutcome(claim?.claimId ?? 0, { type: 'written', revision: 40 })
-    sessions.heard('other' as InstanceId, 1, 'other')
-    ctx.out.take()
+    sessions.messageReceived('other' as InstanceId, 1, 'other')
+    ctx.out.takeEffects()
     ownership.leave()
-    const sent = ctx.out.take().find(effect => effect.type === 'send')
+    const sent = ctx.out.takeEffects().find(effect => effect.type === 'send')
     expect(sent?.type === 'send' && sent.message).to.deep.equal({ type: 'handover', failureDomain: DOMAIN, revision: 40, rank: 1 })
     expect(changes.at(-1)).to.equal('lost to other')
   })
@@ -116,10 +116,10 @@
     expect(claim?.record.successors).to.deep.equal(['strong', 'equal'])
     ownership.claimOutcome(claim?.claimId ?? 0, { type: 'written', revision: 40 })
     ctx.now = ms(ctx.now + 10_000)
-    sessions.heard('equal' as InstanceId, 1, 'equal')
+    sessions.messageReceived('equal' as InstanceId, 1, 'equal')
     ownership.tick()
     expect(ownership.owns()).to.equal(true)
-    sessions.heard('strong' as InstanceId, 1, 'strong')
+    sessions.messageReceived('strong' as InstanceId, 1, 'strong')
     ownership.tick()
     expect(changes.at(-1)).to.equal('lost to strong')
   })
--- a/packages/core/src/ownership/ownershipDecider.ts
+++ b/packages/core/src/ownership/ownershipDecider.ts
@@ -133,7 +133,7 @@
     const index = successors.findIndex((instance, i) => i + 1 > ownership.rank && this.sessions.isLive(instance) && isSuitable(instance))
     const successor = successors[index]
     if (successor === undefined) return
-    this.sessions.tell(successor, { type: 'handover', failureDomain, revision: record.revision, rank: index + 1 })
+    this.sessions.send(successor, { type: 'handover', failureDomain, revision: record.revision, rank: index + 1 })
     this.stepDown(failureDomain, why, successor)
   }
 
@@ -260,7 +260,7 @@
     const ownership = this.db.owned.get(failureDomain)
     if (ownership === undefined) return
     for (const member of this.db.members.values()) {
-      if (member.instance !== self.instance) this.sessions.tell(member.instance, { type: 'announce', incarnation: self.incarnation, address: self.address, failureDomain, token: ownership.token })
+      if (member.instance !== self.instance) this.sessions.send(member.instance, { type: 'announce', incarnation: self.incarnation, address: self.address, failureDomain, token: ownership.token })
     }
   }
 
--- a/packages/core/src/roster/rosterDecider.ts
+++ b/packages/core/src/roster/rosterDecider.ts
@@ -10,7 +10,7 @@
 import type { Context } from '../instance/context.js'
 import type { LimitsDecider } from '../limits/limitsDecider.js'
 import type { MembershipDecider } from '../membership/membershipDecider.js'
-import { byAge } from '../membership/membershipDecider.js'
+import { compareByIncarnation } from '../membership/membershipDecider.js'
 
 /** Time that a heartbeat may take to reach another instance of the domain. */
 const PROPAGATION_MS = 300
@@ -118,7 +118,7 @@
   }
 
   private isOldestServing (): boolean {
-    return this.membership.serving().every(m => byAge(this.ctx.self, m) < 0)
+    return this.membership.serving().every(m => compareByIncarnation(this.ctx.self, m) < 0)
   }
 
   private hasObservedLongEnough (): boolean {
@@ -126,7 +126,7 @@
   }
 
   private isOldestOfDomain (): boolean {
-    return this.membership.liveInDomain().every(m => m.status !== 'serving' || byAge(this.ctx.self, m) < 0)
+    return this.membership.liveInDomain().every(m => m.status !== 'serving' || compareByIncarnation(this.ctx.self, m) < 0)
   }
 
   /**
--- a/packages/core/src/routing/routingDecider.ts
+++ b/packages/core/src/routing/routingDecider.ts
@@ -10,10 +10,10 @@
 import { ms } from '@cranberryyard/protocol'
 import type { Context } from '../instance/context.js'
 import type { HealthDecider } from '../health/healthDecider.js'
-import { byAge } from '../membership/membershipDecider.js'
+import { compareByIncarnation } from '../membership/membershipDecider.js'
 import type { MembershipDecider } from '../membership/membershipDecider.js'
 import type { Member } from '../membership/types.js'
-import { orderOf } from '../contracts/changeRules.js'
+import { endpointOrderOf } from '../contracts/changeRules.js'
 import { rendezvous } from '../utils/rendezvous.js'
 import { sample } from '../utils/random.js'
 import { BUSY_PAUSE_MIN_MS, RoutingDb } from './routingDb.js'
@@ -49,7 +49,7 @@
   ) {}
 
   /** Adopts the platform's list of endpoints. */
-  listEndpoints (list: readonly EndpointInfo[]): void {
+  adoptEndpointList (list: readonly EndpointInfo[]): void {
     for (const gone of this.db.replace(list)) this.health.db.forget(gone)
     this.assignmentKey = ''
     this.applyOrders()
@@ -66,7 +66,7 @@
   refresh (): void {
     const { self, cfg } = this.ctx
     const own: Scheduler[] = this.serving() ? [{ ...self, backlog: 0 }] : []
-    const candidates = [...this.membership.serving(), ...own].sort(byAge)
+    const candidates = [...this.membership.serving(), ...own].sort(compareByIncarnation)
     this.schedulers = candidates.slice(0, cfg.routing.policy === 'scheduler' ? this.schedulersNeeded() : candidates.length)
     this.assignEndpoints()
   }
@@ -186,7 +186,7 @@
   }
 
   private orderFor (endpoint: EndpointId): string {
-    return this.fleet === undefined ? 'active' : orderOf(this.fleet, endpoint)
+    return this.fleet === undefined ? 'active' : endpointOrderOf(this.fleet, endpoint)
   }
 
   /** With several schedulers each endpoint is assigned to one of them, so that they do not compete for its slots. */
--- a/packages/core/src/scheduling/schedulingDb.ts
+++ b/packages/core/src/scheduling/schedulingDb.ts
@@ -29,7 +29,7 @@
   private readonly retainedAnswers = new Map<SubmissionId, { readonly answer: Answer, readonly at: Ms }>()
 
   /** Keeps the answer to a forwarded job, in case the message that carries it is lost. */
-  keepAnswer (answer: Answer, now: Ms): void {
+  retainAnswer (answer: Answer, now: Ms): void {
     this.retainedAnswers.set(answer.submissionId, { answer, at: now })
     for (const [id, retained] of this.retainedAnswers) {
       if (now - retained.at < FORWARD_RETENTION_MS) break
@@ -38,7 +38,7 @@
   }
 
   /** @returns the answer to a forwarded job, while it is kept */
-  keptAnswer (submissionId: SubmissionId): Answer | undefined {
+  retainedAnswer (submissionId: SubmissionId): Answer | undefined {
     return this.retainedAnswers.get(submissionId)?.answer
   }
 
@@ -79,7 +79,7 @@
     results: new Array<unknown>(count),
     nextIndex: 0,
     refusedIndexes: [],
-    missing: count,
+    missingResults: count,
     started: 0,
     ended: false,
     waiting () {
--- a/packages/core/src/scheduling/schedulingDecider.ts
+++ b/packages/core/src/scheduling/schedulingDecider.ts
@@ -19,7 +19,7 @@
 const RENEW_AFTER_LEASE_FRACTION = 1 / 3
 
 /** The other decisions that the scheduler depends on. */
-export interface SchedulingParts {
+export interface SchedulingDependencies {
   readonly limits: LimitsDecider
   readonly routing: RoutingDecider
   readonly health: HealthDecider
@@ -34,7 +34,7 @@
   /** Customers with waiting tasks; one whose tasks have all left the queue is removed at the next count. */
   private readonly activeCustomers = new Set<CustomerId>()
 
-  constructor (private readonly ctx: Context, private readonly parts: SchedulingParts, private readonly listener: SchedulingListener) {
+  constructor (private readonly ctx: Context, private readonly parts: SchedulingDependencies, private readonly listener: SchedulingListener) {
     this.db = new SchedulingDb(ctx.cfg.routing.burstToleranceMs)
   }
 
@@ -67,7 +67,7 @@
    */
   checkForwarded (submissionId: SubmissionId, ageMs: Ms): ForwardedState {
     if (this.db.jobs.has(submissionId)) return { type: 'held' }
-    const answer = this.db.keptAnswer(submissionId)
+    const answer = this.db.retainedAnswer(submissionId)
     if (answer !== undefined) return { type: 'ended', answer }
     if (ageMs >= FORWARD_RETENTION_MS / 2) return { type: 'forgotten' }
     return this.noteForwarded(submissionId) ? { type: 'neverArrived' } : { type: 'forgotten' }
@@ -84,21 +84,21 @@
     const scheduled = newScheduledJob(order, estimate.meanMs)
     const refusal = this.admissionRefusal(scheduled, estimate)
     if (refusal !== undefined) {
-      this.answer(order, failed(order.submissionId, refusal))
+      this.answer(order, failedAnswer(order.submissionId, refusal))
       return
     }
     this.db.jobs.set(order.submissionId, scheduled)
     this.db.queue.push(scheduled, this.ctx.now, this.parts.routing.slots())
     this.db.queuedWorkMs += scheduled.workMs
     this.activeCustomers.add(customer)
-    this.pump()
+    this.startWaitingTasks()
   }
 
   /**
    * Starts as many tasks as slots and permits allow, in the order of the queue. A customer whose next task cannot start
    * is skipped for the rest of the pass; customers without a permit are reported to the limits, which may borrow some.
    */
-  pump (): void {
+  startWaitingTasks (): void {
     const skippedCustomers = new Set<CustomerId>()
     const customersWithoutPermit: CustomerId[] = []
     for (;;) {
@@ -111,7 +111,7 @@
       if (attempt === 'noPermit') customersWithoutPermit.push(job.customer)
       skippedCustomers.add(job.customer)
     }
-    if (customersWithoutPermit.length > 0) this.parts.limits.noteShortage(customersWithoutPermit)
+    if (customersWithoutPermit.length > 0) this.parts.limits.reportShortage(customersWithoutPermit)
   }
 
   /** Renews leases, gives up tasks whose lease has run out, and starts waiting tasks. */
@@ -120,7 +120,7 @@
     for (const task of [...this.db.running.values()]) {
       if (this.ctx.now >= task.leaseUntil) this.leaseRanOut(task)
     }
-    if (this.db.queue.waiting() > 0) this.pump()
+    if (this.db.queue.waiting() > 0) this.startWaitingTasks()
   }
 
   /** Handles an endpoint's answer to a start request, or the failure to send one. */
@@ -138,16 +138,16 @@
         this.stopped(task)
         break
       case 'refused':
-        this.refused(task)
+        this.startRefused(task)
         break
       case 'notSent':
         this.parts.health.unreachable(task.endpoint)
-        this.refused(task)
+        this.startRefused(task)
         break
       case 'unknown':
         this.outcomeLost(task)
     }
-    this.pump()
+    this.startWaitingTasks()
   }
 
   /**
@@ -225,7 +225,7 @@
     if (spec === undefined) return 'noSlot'
     const endpoint = this.parts.routing.choose(spec)
     if (endpoint === undefined) return 'noSlot'
-    if (!this.parts.limits.tryStart(job.customer)) return 'noPermit'
+    if (!this.parts.limits.tryAcquirePermit(job.customer)) return 'noPermit'
     if (job.refusedIndexes.length > 0) job.refusedIndexes.shift()
     else job.nextIndex++
     this.db.queue.adjustWaiting(job.customer, -1)
@@ -263,7 +263,7 @@
 
   private done (task: RunningTask, result: unknown, runMs: number): void {
     const { job, index, endpoint } = task
-    this.end(task)
+    this.releaseTask(task)
     this.ctx.out.count('tasks.done')
     const state = this.parts.routing.db.get(endpoint)
     if (state !== undefined) this.parts.routing.startAccepted(state)
@@ -271,25 +271,25 @@
     this.parts.health.success(this.healthReportOf(task), runMs / Math.max(1, job.meanMs))
     if (job.ended) return
     job.results[index] = result
-    job.missing--
-    if (job.missing === 0) this.complete(job)
+    job.missingResults--
+    if (job.missingResults === 0) this.complete(job)
   }
 
   private taskFailed (task: RunningTask, message: string): void {
-    this.end(task)
+    this.releaseTask(task)
     this.ctx.out.count('tasks.failed')
     this.parts.health.failure(this.healthReportOf(task))
     this.fail(task.job, { name: 'taskFailed', message: `task ${task.index}: ${message}`, ran: 'yes' })
   }
 
   private stopped (task: RunningTask): void {
-    this.end(task)
+    this.releaseTask(task)
     this.fail(task.job, { name: 'permitLost', message: `task ${task.index} was ended because its lease was not renewed`, ran: 'yes' })
   }
 
-  private refused (task: RunningTask): void {
+  private startRefused (task: RunningTask): void {
     const { job, index, endpoint } = task
-    this.end(task)
+    this.releaseTask(task)
     this.ctx.out.count('tasks.refused')
     const state = this.parts.routing.db.get(endpoint)
     if (state !== undefined) this.parts.routing.startRefused(state)
@@ -309,7 +309,7 @@
   }
 
   private leaseRanOut (task: RunningTask): void {
-    this.end(task)
+    this.releaseTask(task)
     if (task.outcomeLost) return
     this.ctx.out.count('tasks.unknown')
     this.parts.health.failure(this.healthReportOf(task))
@@ -322,9 +322,9 @@
   }
 
   /** Releases the permit and the slot of a task that can no longer run. */
-  private end (task: RunningTask): void {
+  private releaseTask (task: RunningTask): void {
     this.db.running.delete(task.taskId)
-    this.parts.limits.release(task.job.customer)
+    this.parts.limits.releasePermit(task.job.customer)
     const state = this.parts.routing.db.get(task.endpoint)
     const size = task.job.order.job.tasks[task.index]
     if (state !== undefined && size !== undefined) this.parts.routing.db.vacate(state, size as TaskSize)
@@ -341,7 +341,7 @@
     if (job.ended) return
     this.drop(job)
     this.stopRunning(job)
-    this.answer(job.order, failed(job.order.submissionId, failure))
+    this.answer(job.order, failedAnswer(job.order.submissionId, failure))
   }
 
   private drop (job: ScheduledJob): void {
@@ -384,7 +384,7 @@
     const due: RunningTask[] = []
     for (const task of [...this.db.running.values()].reverse()) {
       const { customer } = task.job
-      const excess = remainingExcess.get(customer) ?? this.parts.limits.excess(customer)
+      const excess = remainingExcess.get(customer) ?? this.parts.limits.tasksWithoutPermit(customer)
       remainingExcess.set(customer, Math.max(0, excess - 1))
       if (excess > 0 || task.outcomeLost || now - task.renewedAt < cfg.limits.taskLeaseMs * RENEW_AFTER_LEASE_FRACTION) continue
       task.renewedAt = now
@@ -416,6 +416,6 @@
  * @param failure - why it failed, and whether any of its tasks ran
  * @returns the answer
  */
-export function failed (submissionId: SubmissionId, failure: JobFailure): Answer {
+export function failedAnswer (submissionId: SubmissionId, failure: JobFailure): Answer {
   return { outcome: 'failed', submissionId, code: RESULT_CODES[failure.name], message: failure.message, ran: failure.ran }
 }
--- a/packages/core/src/scheduling/types.ts
+++ b/packages/core/src/scheduling/types.ts
@@ -30,7 +30,7 @@
   /** Indexes of tasks whose start an endpoint refused; they are started again first. */
   readonly refusedIndexes: number[]
   /** Number of tasks without a result. */
-  missing: number
+  missingResults: number
   /** Number of starts sent and not known to be refused. */
   started: number
   ended: boolean
--- a/packages/core/src/sessions/sessionsDecider.spec.ts
+++ b/packages/core/src/sessions/sessionsDecider.spec.ts
@@ -23,15 +23,15 @@
   const peerLost = (): void => {
     lostAt = ctx.now
   }
-  const sessions = new SessionsDecider(ctx, () => 1, { peerLost, peerHeard: () => {} })
-  sessions.heard(OWNER, 1, 'owner')
+  const sessions = new SessionsDecider(ctx, () => 1, { peerLost, peerRecovered: () => {} })
+  sessions.messageReceived(OWNER, 1, 'owner')
   const targets = new Map<InstanceId, Ms>([[OWNER, pingMs]])
   for (let at = 0; at < forMs; at += TICK_MS) {
     ctx.now = ms(at)
-    if (isHeardAt(at)) sessions.heard(OWNER, 1, 'owner')
+    if (isHeardAt(at)) sessions.messageReceived(OWNER, 1, 'owner')
     sessions.tick(targets, () => false)
   }
-  const effects = ctx.out.take()
+  const effects = ctx.out.takeEffects()
   return { pings: effects.filter(effect => effect.type === 'send').length, resets: effects.filter(effect => effect.type === 'resetLink').length, lostAt }
 }
 
--- a/packages/core/src/sessions/sessionsDecider.ts
+++ b/packages/core/src/sessions/sessionsDecider.ts
@@ -26,14 +26,14 @@
   constructor (private readonly ctx: ShardContext, private readonly desiredVersion: GetDesiredVersion, private readonly listener: SessionListener) {}
 
   /** Sends a message to a peer. Without a known address, the message is dropped. */
-  tell (to: InstanceId, message: ShardMessage): void {
+  send (to: InstanceId, message: ShardMessage): void {
     const peer = this.db.peers.get(to)
     if (peer === undefined || peer.address === '') return
     this.ctx.out.push({ type: 'send', to, address: peer.address, message })
   }
 
   /** Records that a message arrived from a peer. A changed incarnation means that its previous process is lost. */
-  heard (from: InstanceId, incarnation: number | undefined, address: string): void {
+  messageReceived (from: InstanceId, incarnation: number | undefined, address: string): void {
     const peer = this.db.peer(from, address)
     const restarted = incarnation !== undefined && peer.incarnation !== 0 && incarnation !== peer.incarnation
     if (restarted) this.markLost(peer, 'otherLife')
@@ -44,7 +44,7 @@
     if (peer.lost) {
       peer.lost = false
       this.ctx.out.log('peer.heard', { peer: from, incarnation: peer.incarnation })
-      this.listener.peerHeard(from)
+      this.listener.peerRecovered(from)
     }
   }
 
@@ -55,13 +55,13 @@
   }
 
   /** A connection to a peer could not be established: its process is gone or cut off from the network. */
-  unreachable (instance: InstanceId): void {
+  connectionFailed (instance: InstanceId): void {
     const peer = this.db.peers.get(instance)
     if (peer !== undefined) this.markLost(peer, 'unreachable')
   }
 
   /** A connection broke. An immediate ping finds out whether the peer is still live. */
-  linkDown (instance: InstanceId): void {
+  connectionBroken (instance: InstanceId): void {
     const peer = this.db.peers.get(instance)
     if (peer !== undefined && peer.address !== '') this.ping(peer)
   }
@@ -114,7 +114,7 @@
     const { now, self } = this.ctx
     peer.lastPingAt = now
     peer.firstUnansweredPingAt ??= now
-    this.tell(peer.instance, { type: 'ping', incarnation: self.incarnation, address: self.address, desiredVersion: this.desiredVersion() })
+    this.send(peer.instance, { type: 'ping', incarnation: self.incarnation, address: self.address, desiredVersion: this.desiredVersion() })
   }
 
   private checkSilence (peer: PeerSession): void {
--- a/packages/core/src/sessions/types.ts
+++ b/packages/core/src/sessions/types.ts
@@ -41,5 +41,5 @@
   /** The peer fell silent, refuses connections or restarted with another incarnation. */
   peerLost (instance: InstanceId, why: string): void
   /** A message arrived from a peer that was lost. */
-  peerHeard (instance: InstanceId): void
+  peerRecovered (instance: InstanceId): void
 }
--- a/packages/core/src/shard/settings.ts
+++ b/packages/core/src/shard/settings.ts
@@ -40,9 +40,9 @@
   /** How long a hold request waits at a busy endpoint for a run to end; also the period at which progress is reported. */
   readonly holdWaitMs: Ms
   /** Period at which an endpoint without runs is probed. */
-  readonly idleLookMs: Ms
+  readonly idleHoldPeriodMs: Ms
   /** Period at which an endpoint that does not answer is probed. */
-  readonly silentLookMs: Ms
+  readonly silentHoldPeriodMs: Ms
   /** Slack added to the end of leases for delays of the process scheduler and the network. */
   readonly leaseSlackMs: Ms
   /** Runs found after a takeover that no front claims within this span are stopped. */
@@ -56,11 +56,11 @@
   /** Time from the request to stop until this process ends (grace period of the platform, less the time to close). */
   readonly leaveMs: Ms
   /** How long a leaving instance still accepts jobs on connections that are open; it refuses later ones. */
-  readonly leaveTakeMs: Ms
+  readonly leaveAcceptMs: Ms
   /** Multiple of the latency objective up to which a late answer is still useful (bound of the platform). */
   readonly usefulFactor: number
   /** How long endpoints that are missing from the store's list are kept; the span starts anew when the store is back. */
-  readonly missingMs: Ms
+  readonly missingEndpointRetentionMs: Ms
 }
 
 /** Defaults for a platform that specifies no other bounds. */
@@ -79,23 +79,23 @@
   startValidMs: ms(300),
   orderTimeoutMs: ms(100),
   holdWaitMs: ms(250),
-  idleLookMs: ms(2000),
-  silentLookMs: ms(200),
+  idleHoldPeriodMs: ms(2000),
+  silentHoldPeriodMs: ms(200),
   leaseSlackMs: ms(60),
   claimGraceMs: ms(250),
   supersededMs: ms(400),
   ownerWaitMs: ms(1200),
   pauseMs: ms(400),
   leaveMs: ms(5200),
-  leaveTakeMs: ms(1800),
+  leaveAcceptMs: ms(1800),
   usefulFactor: 3,
-  missingMs: ms(2500)
+  missingEndpointRetentionMs: ms(2500)
 }
 
 /**
  * Periods in milliseconds for reading the list of endpoints. An owner has to notice a draining endpoint in time; the other
  * instances only prepare for a takeover and may use a list that is slightly out of date.
  */
-export const ENDPOINTS_MS: Readonly<Record<ListPace, number>> = { owner: 800, near: 3000, far: 12_000 }
+export const ENDPOINT_LIST_PERIODS_MS: Readonly<Record<ListPace, number>> = { owner: 800, near: 3000, far: 12_000 }
 /** Periods in milliseconds for reading member and shard records. They can be long, since owners also announce themselves. */
-export const RECORDS_MS: Readonly<Record<ListPace, number>> = { owner: 1500, near: 1500, far: 5000 }
+export const RECORD_LIST_PERIODS_MS: Readonly<Record<ListPace, number>> = { owner: 1500, near: 1500, far: 5000 }
--- a/packages/core/src/shard/shardInstance.spec.ts
+++ b/packages/core/src/shard/shardInstance.spec.ts
@@ -30,14 +30,14 @@
 const REACHABLE: ShardInput = { type: 'storeReachable', reachable: true }
 
 describe('the list of endpoints', () => {
-  const { missingMs } = SHARD_DEFAULTS
+  const { missingEndpointRetentionMs } = SHARD_DEFAULTS
 
   it('does not treat an endpoint as gone after a single list without it, however long ago that was', () => {
-    const inputs: [number, ShardInput][] = [[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [100 + missingMs + 1, TICK], [200 + missingMs, listInput(ENDPOINT)]]
+    const inputs: [number, ShardInput][] = [[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [100 + missingEndpointRetentionMs + 1, TICK], [200 + missingEndpointRetentionMs, listInput(ENDPOINT)]]
     expect(loggedEvents(inputs)).not.to.include('endpoint.gone')
   })
 
   it('treats an endpoint as gone when lists omit it for the whole time span', () => {
-    expect(loggedEvents([[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [101 + missingMs, listInput()]])).to.include('endpoint.gone')
+    expect(loggedEvents([[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [101 + missingEndpointRetentionMs, listInput()]])).to.include('endpoint.gone')
   })
 })
--- a/packages/core/src/shard/shardInstance.ts
+++ b/packages/core/src/shard/shardInstance.ts
@@ -52,16 +52,16 @@
     const { ctx } = this
     this.sessions = new SessionsDecider(ctx, () => this.desired.db.version(), {
       peerLost: instance => this.peerLost(instance),
-      peerHeard: instance => this.peerHeard(instance)
+      peerRecovered: instance => this.peerHeard(instance)
     })
-    this.desired = new DesiredDecider(ctx, (to, message) => this.sessions.tell(to, message), () => this.storeReachable)
+    this.desired = new DesiredDecider(ctx, (to, message) => this.sessions.send(to, message), () => this.storeReachable)
     this.ownership = new OwnershipDecider(ctx, this.sessions, {
       ownershipGained: failureDomain => this.ownershipGained(failureDomain),
       ownershipLost: (failureDomain, successor) => this.ownershipLost(failureDomain, successor)
     })
     this.placement = new PlacementDecider(ctx)
     this.execution = new ExecutionDecider(ctx, this.placement, {
-      tell: (front, message) => this.sendToFront(front.instance, message),
+      sendToFront: (front, message) => this.sendToFront(front.instance, message),
       superseded: failureDomain => this.ownership.superseded(failureDomain),
       earlierRunsKnown: failureDomain => this.earlierRunsKnown(failureDomain)
     })
@@ -82,9 +82,9 @@
     this.ctx.now = now
     this.detectPause(now, wall)
     this.dispatch(input)
-    this.execution.pump()
+    this.execution.startWaitingTasks()
     this.updateState()
-    return this.ctx.out.take()
+    return this.ctx.out.takeEffects()
   }
 
   /** Registers this instance in the store. */
@@ -93,7 +93,7 @@
     this.ctx.now = now
     this.registeredAt = now
     out.push({ type: 'writeMember', record: { ...self } })
-    return out.take()
+    return out.takeEffects()
   }
 
   /** An idle instance needs ticks only for pings and succession, which have longer periods. */
@@ -112,12 +112,12 @@
       case 'submit': return this.intake.submit(input.callId, input.host, input.path, input.job, input.deadlineMs)
       case 'callerLeft': return this.intake.callerLeft(input.callId)
       case 'peer': return this.receive(input.from, input.message)
-      case 'sendFailed': return this.sessions.unreachable(input.to)
+      case 'sendFailed': return this.sessions.connectionFailed(input.to)
       case 'linkDown': return this.linkDown(input.peer)
       case 'holdOutcome': return this.endpoints.holdOutcome(input.endpoint, input.orderId, input.outcome)
       case 'taskStartOutcome': return this.endpoints.startOutcome(input.endpoint, input.orderId, input.outcome)
       case 'taskStopOutcome': return this.endpoints.stopOutcome(input.endpoint, input.orderId, input.outcome)
-      case 'desired': return this.desired.take(input.state, 'store')
+      case 'desired': return this.desired.adopt(input.state, 'store')
       case 'endpoints': return this.applyReports(input.reports, input.fresh)
       case 'records': return this.applyRecords(input)
       case 'storeReachable': return this.setStoreReachable(input.reachable)
@@ -129,13 +129,13 @@
   private receive (from: InstanceId, message: ShardMessage): void {
     if (from !== this.ctx.self.instance) {
       const incarnation = 'incarnation' in message ? message.incarnation : undefined
-      this.sessions.heard(from, incarnation, 'address' in message ? message.address : '')
+      this.sessions.messageReceived(from, incarnation, 'address' in message ? message.address : '')
     }
     switch (message.type) {
       case 'ping': return this.receivePing(from, message.incarnation, message.desiredVersion)
       case 'pong':
         this.sessions.db.learnOwned(from, message.owned)
-        this.desired.heard(from, message.desiredVersion)
+        this.desired.peerVersionReceived(from, message.desiredVersion)
         if (this.ownsLocalDomain(from)) this.sessions.db.learnOthers(message.others, this.ctx.now)
         for (const { failureDomain } of [...message.owned, ...message.others]) this.intake.ownerKnown(failureDomain)
         return
@@ -148,22 +148,22 @@
       case 'cancelJob': return this.execution.cancel(message.jobId, from)
       case 'ended': return this.intake.ended(message.jobId, message.outcome)
       case 'declined': return this.intake.declined(message.jobId, from, message.attempt, message.retryAfterMs)
-      case 'notOwner': return this.intake.unknownAt(message.jobId, from, message.failureDomain)
-      case 'moved': return this.intake.moved(from, message.failureDomain, message.progress)
+      case 'notOwner': return this.intake.jobUnknownAtOwner(message.jobId, from, message.failureDomain)
+      case 'moved': return this.intake.shardMoved(from, message.failureDomain, message.progress)
       case 'handover': return this.ownership.handoverReceived(message.failureDomain, message.revision, message.rank)
       case 'desiredRequest': return this.desired.stateRequested(from)
-      case 'desired': return this.desired.take(message.state, from)
+      case 'desired': return this.desired.adopt(message.state, from)
     }
   }
 
   /** Delivers a message to a peer or, without a connection, to this instance itself, which handles it like any other. */
   private deliver (to: InstanceId, message: ShardMessage): void {
-    if (to !== this.ctx.self.instance) this.sessions.tell(to, message)
+    if (to !== this.ctx.self.instance) this.sessions.send(to, message)
     else this.receive(to, message)
   }
 
   private tick (): void {
-    const fronts = this.execution.fronts()
+    const fronts = this.execution.frontInstances()
     this.sessions.tick(this.pingTargets(), peer => fronts.has(peer.instance) || (peer.usesOwnedShard && this.expectsPingsFrom(peer.instance)))
     this.desired.tick()
     this.ownership.tick()
@@ -213,7 +213,7 @@
     const peer = this.sessions.db.peers.get(to)
     if (peer !== undefined) peer.loadSentAt = now
     const owned: OwnedShard[] = [...this.ownership.db.owned.values()].map(({ failureDomain, token }) => ({ failureDomain, token, load: this.load() }))
-    this.sessions.tell(to, { type: 'pong', incarnation: self.incarnation, owned, others: this.otherShards(), desiredVersion: this.desired.db.version() })
+    this.sessions.send(to, { type: 'pong', incarnation: self.incarnation, owned, others: this.otherShards(), desiredVersion: this.desired.db.version() })
   }
 
   /** Returns the shards of other domains whose owners send messages to this owner directly. */
@@ -231,12 +231,12 @@
   private receivePing (from: InstanceId, incarnation: number, desiredVersion: number): void {
     this.sessions.pingReceived(from)
     this.execution.frontLost(from, incarnation)
-    this.desired.heard(from, desiredVersion)
+    this.desired.peerVersionReceived(from, desiredVersion)
     this.sendLoad(from)
   }
 
   private load (): OwnedShard['load'] {
-    const room = this.execution.room()
+    const room = this.execution.capacity()
     const busyShare = room.totalCpuMilli === 0 ? 1 : 1 - room.freeCpuMilli / room.totalCpuMilli
     return { waitMs: room.totalCpuMilli === 0 ? this.ctx.cfg.ownerWaitMs : this.execution.admission.backlogMs(room), busyShare }
   }
@@ -263,17 +263,17 @@
     const since = Math.max(owned.since, knownInFullSince)
     if (now - since > cfg.supersededMs + cfg.leaseMs * (1 + cfg.clockDrift) + cfg.leaseSlackMs) return true
     if (freshAt === undefined || freshAt < owned.since) return false
-    return this.endpointList.of(failureDomain).every(report => this.endpoints.db.get(report.id)?.looked === true)
+    return this.endpointList.inFailureDomain(failureDomain).every(report => this.endpoints.db.get(report.id)?.answeredUnderToken === true)
   }
 
   private receiveJobCheck (from: InstanceId, failureDomain: FailureDomain, jobIds: readonly JobId[]): void {
     const peer = this.sessions.db.peers.get(from)
     const front = { instance: from, incarnation: peer?.incarnation ?? this.ctx.self.incarnation, address: peer?.address ?? '' }
-    this.execution.check(front, failureDomain, jobIds)
+    this.execution.confirmJobs(front, failureDomain, jobIds)
   }
 
   private linkDown (peer: InstanceId): void {
-    this.sessions.linkDown(peer)
+    this.sessions.connectionBroken(peer)
     this.intake.linkReplaced(peer)
   }
 
@@ -289,14 +289,14 @@
   }
 
   private ownershipGained (failureDomain: FailureDomain): void {
-    this.endpoints.adopt(this.endpointList.of(failureDomain))
+    this.endpoints.adopt(this.endpointList.inFailureDomain(failureDomain))
     this.intake.ownerKnown(failureDomain)
   }
 
   private ownershipLost (failureDomain: FailureDomain, successor: InstanceId | undefined): void {
     const shard = this.sessions.db.shards.get(failureDomain)
     if (shard?.owner === this.ctx.self.instance) shard.disowned = true
-    const progressByFront = this.execution.release(failureDomain)
+    const progressByFront = this.execution.releaseShard(failureDomain)
     this.endpoints.release(failureDomain)
     for (const [front, progress] of progressByFront) {
       this.deliver(front.instance, { type: 'moved', failureDomain, to: successor ?? this.ctx.self.instance, progress })
@@ -304,12 +304,12 @@
   }
 
   private applyReports (reports: readonly EndpointReport[], fresh: boolean): void {
-    this.endpointList.take(reports, fresh)
+    this.endpointList.applyList(reports, fresh)
     this.endpoints.update(reports.filter(report => this.ownership.db.owned.has(report.failureDomain)))
   }
 
   private endpointGone (id: EndpointId): void {
-    this.endpoints.forget(id)
+    this.endpoints.markUnlisted(id)
     this.placement.db.forget(id)
   }
 
@@ -327,7 +327,7 @@
     this.storeReachable = reachable
     this.ctx.out.log(reachable ? 'store.regained' : 'store.lost', {}, reachable ? 'info' : 'warn')
     if (!reachable) return
-    this.endpointList.storeRegained()
+    this.endpointList.storeReachableAgain()
   }
 
   private leave (): void {
@@ -349,9 +349,9 @@
     if (elapsedMs < cfg.pauseMs) return
     out.count('shard.pauses')
     out.log('process.paused', { pausedMs: Math.round(elapsedMs), steadyMs: Math.round(steadyMs), frontedJobs: this.intake.db.jobs.size, ownedJobs: this.execution.db.jobs.size }, 'warn')
-    this.intake.loseAll()
-    this.execution.dropAll()
-    this.endpoints.lookAgain()
+    this.intake.giveUpAll()
+    this.execution.forgetAllJobs()
+    this.endpoints.requireFreshAnswers()
   }
 
   private updateListPace (): void {
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -99,7 +99,7 @@
   }
 
   /** Returns the effects pushed since the last call and removes them. */
-  take (): ShardEffect[] {
+  takeEffects (): ShardEffect[] {
     const taken = this.effects
     this.effects = []
     return taken
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -2,7 +2,7 @@
  * Owns the connection to the platform's store: watches the desired state, reads the lists of endpoints and records at
  * a fixed slow pace, and carries out writes. Each call has a deadline; after a failure the pace falls.
  */
-import { ENDPOINTS_MS, RECORDS_MS } from '@cranberryyard/core/shard'
+import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS } from '@cranberryyard/core/shard'
 import type { ListPace, ShardEffect, ShardInput } from '@cranberryyard/core/shard'
 import type { EndpointReport, MemberRecord, Ms, Revised, ShardRecord } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -49,11 +49,11 @@
   start (): void {
     void this.followDesired()
     void this.loop(async () => {
-      return await this.readEndpoints() ? ENDPOINTS_MS[this.pace] : undefined
+      return await this.readEndpoints() ? ENDPOINT_LIST_PERIODS_MS[this.pace] : undefined
     }, (wake) => {
       this.wakeEndpoints = wake
     })
-    void this.loop(async () => await this.readRecords() ? RECORDS_MS[this.pace] : undefined, (wake) => {
+    void this.loop(async () => await this.readRecords() ? RECORD_LIST_PERIODS_MS[this.pace] : undefined, (wake) => {
       this.wakeRecords = wake
     })
   }
@@ -62,8 +62,8 @@
   setPace (pace: ListPace): void {
     const before = this.pace
     this.pace = pace
-    if (ENDPOINTS_MS[pace] < ENDPOINTS_MS[before]) this.wakeEndpoints()
-    if (RECORDS_MS[pace] < RECORDS_MS[before]) this.wakeRecords()
+    if (ENDPOINT_LIST_PERIODS_MS[pace] < ENDPOINT_LIST_PERIODS_MS[before]) this.wakeEndpoints()
+    if (RECORD_LIST_PERIODS_MS[pace] < RECORD_LIST_PERIODS_MS[before]) this.wakeRecords()
   }
 
   /** Reads the records again at once. */
