--- a/packages/bench/src/fuzz/mutations.ts
+++ b/packages/bench/src/fuzz/mutations.ts
@@ -19,8 +19,8 @@
   {
     name: 'startsWithoutPermit',
     file: 'limits/limitsDecider.js',
-    find: 'if (this.free(customer) <= 0)',
-    replace: 'if (this.free(customer) <= -2)',
+    find: 'if (this.freePermits(customer) <= 0)',
+    replace: 'if (this.freePermits(customer) <= -2)',
     caughtBy: 'a forward arrives twice; scheduling: one'
   },
   {
@@ -55,14 +55,14 @@
     name: 'retriesUnknownStarts',
     file: 'scheduling/schedulingDecider.js',
     find: 'this.outcomeLost(task);\n',
-    replace: 'this.refused(task);\n',
+    replace: 'this.startRefused(task);\n',
     caughtBy: 'connections break while tasks run; scheduling: one'
   },
   {
     name: 'freesPermitOfLostTask',
     file: 'scheduling/schedulingDecider.js',
     find: 'task.outcomeLost = true;',
-    replace: 'this.end(task);',
+    replace: 'this.releaseTask(task);',
     caughtBy: 'connections break while tasks run; scheduling: one'
   },
   {
@@ -97,14 +97,14 @@
     name: 'resultsInOrderOfArrival',
     file: 'scheduling/schedulingDecider.js',
     find: 'job.results[index] = result',
-    replace: 'job.results[job.results.length - job.missing] = result',
+    replace: 'job.results[job.results.length - job.missingResults] = result',
     caughtBy: 'a forward arrives twice; scheduling: one'
   },
   {
     name: 'answersTwice',
     file: 'jobs/jobsDecider.js',
-    find: 'for (const callId of job.waiting)',
-    replace: 'for (const callId of [...job.waiting, ...job.waiting])',
+    find: 'for (const callId of job.waitingCalls)',
+    replace: 'for (const callId of [...job.waitingCalls, ...job.waitingCalls])',
     caughtBy: 'a forward arrives twice; scheduling: one'
   },
   {
--- a/packages/bench/src/shard/shardMutations.ts
+++ b/packages/bench/src/shard/shardMutations.ts
@@ -57,7 +57,7 @@
     name: 'a new owner ignores the runs that it finds',
     breaks: ['LIMIT', 'TWICE'],
     seeds: [1, 2, 3, 4, 5, 6],
-    apply: () => replace(sample.endpoints, 'found', () => () => {})
+    apply: () => replace(sample.endpoints, 'addFoundRun', () => () => {})
   },
   {
     name: 'a new owner trusts a list that it has only just read',
@@ -71,10 +71,10 @@
     seeds: [1, 2, 11],
     apply: () => {
       const undoLost = replace(sample.execution, 'frontLost', () => () => {})
-      const undoUnwanted = replace(sample.execution, 'isUnwanted', () => () => false)
+      const undoConfirmationExpired = replace(sample.execution, 'isConfirmationExpired', () => () => false)
       return () => {
         undoLost()
-        undoUnwanted()
+        undoConfirmationExpired()
       }
     }
   },
@@ -110,17 +110,17 @@
     breaks: ['CONFIG'],
     seeds: [1, 19, 25],
     apply: () => {
-      const undoTake = replace(sample.desired, 'take', () => function (this: typeof sample.desired, ...args) {
+      const undoAdopt = replace(sample.desired, 'adopt', () => function (this: typeof sample.desired, ...args) {
         const [state] = args as unknown as Parameters<typeof sample.desired.adopt>
         this.db.adopt(state)
       })
-      const undoHeard = replace(sample.desired, 'heard', () => function (this: typeof sample.desired, ...args) {
+      const undoPeerVersionReceived = replace(sample.desired, 'peerVersionReceived', () => function (this: typeof sample.desired, ...args) {
         const [from, version] = args as unknown as Parameters<typeof sample.desired.peerVersionReceived>
-        if (version !== this.db.version()) (this as unknown as { tell: (to: InstanceId, message: object) => void }).tell(from, { type: 'desiredRequest' })
+        if (version !== this.db.version()) (this as unknown as { send: (to: InstanceId, message: object) => void }).send(from, { type: 'desiredRequest' })
       })
       return () => {
-        undoTake()
-        undoHeard()
+        undoAdopt()
+        undoPeerVersionReceived()
       }
     }
   }
--- a/packages/core/src/admission/admissionDecider.ts
+++ b/packages/core/src/admission/admissionDecider.ts
@@ -27,13 +27,13 @@
   /**
    * Admits or declines a newly arrived job.
    * @param job - the job
-   * @param room - the shard's capacity
+   * @param capacity - the shard's capacity
    * @param now - the time
    */
-  decide (job: QueuedWork, room: ShardCapacity, now: Ms): AdmissionVerdict {
-    const wait = this.expectedWait(job, room, now)
+  decide (job: QueuedWork, capacity: ShardCapacity, now: Ms): AdmissionVerdict {
+    const wait = this.expectedWait(job, capacity, now)
     if (now + wait + job.criticalPathMs <= job.usefulUntil) return { type: 'admit' }
-    return { type: 'decline', retryAfterMs: this.retryAfter(room) }
+    return { type: 'decline', retryAfterMs: this.retryAfter(capacity) }
   }
 
   /** @returns the waiting jobs in the order in which their tasks start */
@@ -45,13 +45,13 @@
   /**
    * Reassesses all waiting jobs in start order. The work of a declined job no longer delays the jobs behind it, so a burst
    * costs only the jobs that exceed the capacity. A job that may already have run is never declined.
-   * @param room - the shard's capacity
+   * @param capacity - the shard's capacity
    * @param now - the time
    * @returns jobs that cannot finish while their answer is still useful
    */
-  jobsToDecline (room: ShardCapacity, now: Ms): T[] {
+  jobsToDecline (capacity: ShardCapacity, now: Ms): T[] {
     const declined: T[] = []
-    const usable = usableCpu(room)
+    const usable = usableCpu(capacity)
     let ahead = 0
     for (const job of this.inStartOrder(now)) {
       if (!job.mayHaveRun && now + ahead / usable + job.criticalPathMs > job.usefulUntil) declined.push(job)
@@ -61,23 +61,23 @@
   }
 
   /** @returns expected wait of a job that arrives now and starts after all waiting jobs */
-  backlogMs (room: ShardCapacity): Ms {
+  backlogMs (capacity: ShardCapacity): Ms {
     const waiting = this.db.waitingWork()
     if (waiting === 0) return ms(0)
-    return ms(Math.min(BACKLOG_MAX_MS, waiting / usableCpu(room)))
+    return ms(Math.min(BACKLOG_MAX_MS, waiting / usableCpu(capacity)))
   }
 
   /** @returns delay after which callers that are declined now should retry */
-  retryAfter (room: ShardCapacity): Ms {
-    return ms(Math.min(RETRY_MAX_MS, Math.max(RETRY_MIN_MS, this.backlogMs(room))))
+  retryAfter (capacity: ShardCapacity): Ms {
+    return ms(Math.min(RETRY_MAX_MS, Math.max(RETRY_MIN_MS, this.backlogMs(capacity))))
   }
 
-  private expectedWait (job: QueuedWork, room: ShardCapacity, now: Ms): number {
+  private expectedWait (job: QueuedWork, capacity: ShardCapacity, now: Ms): number {
     let ahead = 0
     for (const other of this.db.waiting) {
       if (other !== job && this.compare(other, job, now) <= 0) ahead += other.waitingWork()
     }
-    return ahead === 0 ? 0 : ahead / usableCpu(room)
+    return ahead === 0 ? 0 : ahead / usableCpu(capacity)
   }
 
   private compare (a: QueuedWork, b: QueuedWork, now: Ms): number {
@@ -96,6 +96,6 @@
   return job.onTimeUntil - job.criticalPathMs + job.priority * PRIORITY_STEP_MS
 }
 
-function usableCpu (room: ShardCapacity): number {
-  return Math.max(1, room.totalCpuMilli * PACKING_SHARE)
+function usableCpu (capacity: ShardCapacity): number {
+  return Math.max(1, capacity.totalCpuMilli * PACKING_SHARE)
 }
--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -1,7 +1,7 @@
 /**
  * This instance's copy of the store's list of endpoints: the entries, how fresh they are, and which endpoints are gone.
  * The store's list is read at intervals, lags behind, and for a while after a store outage leaves out endpoints that still
- * exist. An endpoint therefore counts as gone only after lists have left it out for `missingMs`.
+ * exist. An endpoint therefore counts as gone only after lists have left it out for `missingEndpointRetentionMs`.
  */
 import type { EndpointId, EndpointReport, FailureDomain, Ms } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
@@ -28,8 +28,8 @@
   }
 
   /**
-   * When the list was first read after entries that had lapsed before the first read had `missingMs` to come back; undefined
-   * before that.
+   * When the list was first read after entries that had lapsed before the first read had `missingEndpointRetentionMs` to
+   * come back; undefined before that.
    */
   get knownInFullSince (): Ms | undefined {
     return this.completeSince
@@ -67,7 +67,10 @@
     }
   }
 
-  /** An endpoint counts as gone when lists have left it out for `missingMs`; time without any list does not count by itself. */
+  /**
+   * An endpoint counts as gone when lists have left it out for `missingEndpointRetentionMs`; time without any list does not
+   * count by itself.
+   */
   private removeIfGone (id: EndpointId, entry: ListEntry): void {
     const { now, cfg, out } = this.ctx
     entry.missingSince ??= now
--- a/packages/core/src/execution/executionDecider.ts
+++ b/packages/core/src/execution/executionDecider.ts
@@ -27,7 +27,7 @@
 /** A task avoids at most this many endpoints, so that one always remains to run it. */
 const AVOIDED_ENDPOINTS_MAX = 3
 /** How long a computed capacity total is reused; fronts request it many times per tick. */
-const ROOM_CACHE_MS = 20
+const CAPACITY_CACHE_MS = 20
 
 /** A planned start whose capacity is reserved in the current placement round. */
 interface PlannedStart {
@@ -50,7 +50,7 @@
   readonly admission = new AdmissionDecider<OwnedJob>()
   private startRoundNeeded = false
   private nextReassessmentAt = ms(0)
-  private cachedRoom: { readonly at: Ms, readonly room: ShardCapacity } | undefined
+  private cachedCapacity: { readonly at: Ms, readonly capacity: ShardCapacity } | undefined
   endpoints!: EndpointsDecider
 
   constructor (private readonly ctx: ShardContext, private readonly placement: PlacementDecider, private readonly ports: ExecutionPorts) {}
@@ -95,7 +95,10 @@
     return fronts
   }
 
-  /** Answers a front that checks on jobs it still wants: resends the outcome of ended jobs and reports unknown ones, which it has to resubmit. */
+  /**
+   * Answers a front that confirms the jobs it still wants: resends the outcome of ended jobs and reports unknown ones, which
+   * it has to resubmit.
+   */
   confirmJobs (front: FrontSession, failureDomain: FailureDomain, ids: readonly JobId[]): void {
     for (const id of ids) {
       const job = this.db.jobs.get(id)
@@ -153,14 +156,14 @@
     }
   }
 
-  /** @returns total and free capacity of all usable endpoints, at most `ROOM_CACHE_MS` old */
+  /** @returns total and free capacity of all usable endpoints, at most `CAPACITY_CACHE_MS` old */
   capacity (): ShardCapacity {
     const { now } = this.ctx
-    if (this.cachedRoom === undefined || now - this.cachedRoom.at >= ROOM_CACHE_MS) this.cachedRoom = { at: now, room: this.countRoom() }
-    return this.cachedRoom.room
+    if (this.cachedCapacity === undefined || now - this.cachedCapacity.at >= CAPACITY_CACHE_MS) this.cachedCapacity = { at: now, capacity: this.countCapacity() }
+    return this.cachedCapacity.capacity
   }
 
-  private countRoom (): ShardCapacity {
+  private countCapacity (): ShardCapacity {
     let totalCpuMilli = 0
     let freeCpuMilli = 0
     for (const endpoint of this.endpoints.db.all()) {
@@ -519,10 +522,10 @@
     const { now } = this.ctx
     if (now < this.nextReassessmentAt || this.admission.db.waiting.size === 0) return
     this.nextReassessmentAt = ms(now + REASSESS_INTERVAL_MS)
-    const room = this.capacity()
-    const tooLate = this.admission.jobsToDecline(room, now)
+    const capacity = this.capacity()
+    const tooLate = this.admission.jobsToDecline(capacity, now)
     for (const job of tooLate) this.forget(job)
-    for (const job of tooLate) this.decline(job, 'tooLate', this.admission.retryAfter(room))
+    for (const job of tooLate) this.decline(job, 'tooLate', this.admission.retryAfter(capacity))
   }
 }
 
--- a/packages/core/src/intake/types.ts
+++ b/packages/core/src/intake/types.ts
@@ -18,7 +18,6 @@
   readonly job: JobRequest
   readonly queue: QueueTerms
   readonly receivedAt: Ms
-  /** The caller's deadline. */
   readonly callerDeadline: Ms
   /** Time after which an answer is of no use to the caller. */
   readonly usefulUntil: Ms
--- a/packages/core/src/shard/shardInstance.ts
+++ b/packages/core/src/shard/shardInstance.ts
@@ -52,7 +52,7 @@
     const { ctx } = this
     this.sessions = new SessionsDecider(ctx, () => this.desired.db.version(), {
       peerLost: instance => this.peerLost(instance),
-      peerRecovered: instance => this.peerHeard(instance)
+      peerRecovered: instance => this.peerRecovered(instance)
     })
     this.desired = new DesiredDecider(ctx, (to, message) => this.sessions.send(to, message), () => this.storeReachable)
     this.ownership = new OwnershipDecider(ctx, this.sessions, {
@@ -236,9 +236,9 @@
   }
 
   private load (): OwnedShard['load'] {
-    const room = this.execution.capacity()
-    const busyShare = room.totalCpuMilli === 0 ? 1 : 1 - room.freeCpuMilli / room.totalCpuMilli
-    return { waitMs: room.totalCpuMilli === 0 ? this.ctx.cfg.ownerWaitMs : this.execution.admission.backlogMs(room), busyShare }
+    const capacity = this.execution.capacity()
+    const busyShare = capacity.totalCpuMilli === 0 ? 1 : 1 - capacity.freeCpuMilli / capacity.totalCpuMilli
+    return { waitMs: capacity.totalCpuMilli === 0 ? this.ctx.cfg.ownerWaitMs : this.execution.admission.backlogMs(capacity), busyShare }
   }
 
   private receiveSubmit (front: FrontSession, message: Extract<ShardMessage, { type: 'submit' }>): void {
@@ -282,7 +282,7 @@
     this.intake.ownerLost(instance)
   }
 
-  private peerHeard (instance: InstanceId): void {
+  private peerRecovered (instance: InstanceId): void {
     for (const shard of this.sessions.db.shards.values()) {
       if (shard.owner === instance) this.intake.ownerKnown(shard.failureDomain)
     }
