--- a/packages/bench/src/shard/shardFleet.ts
+++ b/packages/bench/src/shard/shardFleet.ts
@@ -4,7 +4,7 @@
  * repeated exactly.
  */
 import type { ListPace, ShardEffect, ShardInput, ShardSettings } from '@cranberryyard/core/shard'
-import { ENDPOINTS_MS, RECORDS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
+import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
 import type { Random } from '@cranberryyard/core'
 import { FencedEndpointModel, RecordStoreModel, ShardOracle } from '@cranberryyard/fakes'
 import type { ModelTask } from '@cranberryyard/fakes'
@@ -275,7 +275,7 @@
 
   /** Starts to read the lists at a new pace: the first time at once, or after one period when the pace slows down. */
   private setPace (process: Process, pace: ListPace): void {
-    const slowsDown = ENDPOINTS_MS[pace] > ENDPOINTS_MS[process.pace]
+    const slowsDown = ENDPOINT_LIST_PERIODS_MS[pace] > ENDPOINT_LIST_PERIODS_MS[process.pace]
     process.pace = pace
     const change = ++process.paceChanges
     const repeatEvery = (period: number, step: () => void, first: number): void => {
@@ -285,8 +285,8 @@
         repeatEvery(period, step, period)
       })
     }
-    repeatEvery(RECORDS_MS[pace], () => this.readRecords(process), slowsDown ? RECORDS_MS[pace] : 0)
-    repeatEvery(ENDPOINTS_MS[pace], () => this.readEndpoints(process), slowsDown ? ENDPOINTS_MS[pace] : 0)
+    repeatEvery(RECORD_LIST_PERIODS_MS[pace], () => this.readRecords(process), slowsDown ? RECORD_LIST_PERIODS_MS[pace] : 0)
+    repeatEvery(ENDPOINT_LIST_PERIODS_MS[pace], () => this.readEndpoints(process), slowsDown ? ENDPOINT_LIST_PERIODS_MS[pace] : 0)
   }
 
   private canReachStore (process: Process): boolean {
--- a/packages/core/src/instance/status.ts
+++ b/packages/core/src/instance/status.ts
@@ -3,7 +3,7 @@
  * returns plain data, so that the report can be sent as JSON. Member names of the rows are part of the report's format.
  */
 import type { CustomerId, EndpointId, FailureDomain, InstanceId } from '@cranberryyard/protocol'
-import { orderOf } from '../contracts/changeRules.js'
+import { endpointOrderOf } from '../contracts/changeRules.js'
 import type { Instance } from './instance.js'
 import type { TimelinessCount } from './types.js'
 
@@ -86,7 +86,7 @@
     rosterEpoch: fleet.roster.epoch,
     roster: fleet.roster.entries.map(e => e.holder),
     claimsKept: deduplication.db.size(),
-    claimBucketsImporting: deduplication.importing(),
+    claimBucketsImporting: deduplication.importingBuckets(),
     instances: instanceRows(instance, state),
     endpoints: endpointRows(instance),
     customers: customerRows(instance),
@@ -126,7 +126,7 @@
     rack: e.info.rack,
     slots: e.info.slots,
     running: e.running,
-    order: orderOf(contracts.db.fleet, e.info.id),
+    order: endpointOrderOf(contracts.db.fleet, e.info.id),
     health: health.db.record(e.info.id).state,
     leaving: e.info.leaving
   }))
