--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -1,7 +1,7 @@
 /**
  * This instance's copy of the store's list of endpoints: the entries, how fresh they are, and which endpoints are gone.
  * The store's list is read at intervals, lags behind, and for a while after a store outage leaves out endpoints that still
- * exist. An endpoint therefore counts as gone only after lists have left it out for `missingMs`.
+ * exist. An endpoint therefore counts as gone only after lists have left it out for `missingEndpointRetentionMs`.
  */
 import type { EndpointId, EndpointReport, FailureDomain, Ms } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
@@ -28,15 +28,15 @@
   }
 
   /**
-   * When the list was first read after entries that had lapsed before the first read had `missingMs` to come back; undefined
-   * before that.
+   * When the list was first read after entries that had lapsed before the first read had `missingEndpointRetentionMs` to
+   * come back; undefined before that.
    */
   get knownInFullSince (): Ms | undefined {
     return this.completeSince
   }
 
   /** Returns the endpoints of a failure domain. */
-  of (failureDomain: FailureDomain): EndpointReport[] {
+  inFailureDomain (failureDomain: FailureDomain): EndpointReport[] {
     return [...this.entries.values()].map(entry => entry.report).filter(report => report.failureDomain === failureDomain)
   }
 
@@ -45,12 +45,12 @@
    * @param reports - the entries of the list
    * @param fresh - true when the list was read as an owner, not from a copy that may be old
    */
-  take (reports: readonly EndpointReport[], fresh: boolean): void {
+  applyList (reports: readonly EndpointReport[], fresh: boolean): void {
     const { now, cfg } = this.ctx
     const listedIds = new Set<EndpointId>()
     if (fresh) this.lastFreshAt = now
     this.firstReadAt ??= now
-    if (now - this.firstReadAt >= cfg.missingMs) this.completeSince ??= now
+    if (now - this.firstReadAt >= cfg.missingEndpointRetentionMs) this.completeSince ??= now
     for (const report of reports) {
       listedIds.add(report.id)
       this.entries.set(report.id, { report, missingSince: undefined })
@@ -61,18 +61,21 @@
   }
 
   /** Called when the store is reachable again: entries that it lost meanwhile get the whole span to come back. */
-  storeRegained (): void {
+  storeReachableAgain (): void {
     for (const entry of this.entries.values()) {
       if (entry.missingSince !== undefined) entry.missingSince = this.ctx.now
     }
   }
 
-  /** An endpoint counts as gone when lists have left it out for `missingMs`; time without any list does not count by itself. */
+  /**
+   * An endpoint counts as gone when lists have left it out for `missingEndpointRetentionMs`; time without any list does not
+   * count by itself.
+   */
   private removeIfGone (id: EndpointId, entry: ListEntry): void {
     const { now, cfg, out } = this.ctx
     entry.missingSince ??= now
     const missingMs = now - entry.missingSince
-    if (missingMs < cfg.missingMs) return
+    if (missingMs < cfg.missingEndpointRetentionMs) return
     this.entries.delete(id)
     out.log('endpoint.gone', { endpoint: id, failureDomain: entry.report.failureDomain, missingMs: Math.round(missingMs) })
     this.onGone(id)
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -3,12 +3,12 @@
  * the period that the decisions ask for, and carries out writes. Each call has a deadline, and failed reads are repeated
  * with backoff. Timeouts and retries belong here; the platform adapter only translates calls and replies.
  */
-import { ENDPOINTS_MS, RECORDS_MS } from '@cranberryyard/core/shard'
+import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS } from '@cranberryyard/core/shard'
 import type { ListPace, ShardEffect, ShardInput } from '@cranberryyard/core/shard'
 import type { EndpointReport, MemberRecord, Ms, Revised, ShardRecord } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
 import { HttpCaller } from './httpCaller.js'
-import type { DesiredNews, HttpCall, HttpReply, Page, RecordEntry, StoreFailure, StoreWire } from './wires.js'
+import type { DesiredReadResult, HttpCall, HttpReply, Page, RecordEntry, StoreFailure, StoreWire } from './wires.js'
 
 type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
@@ -49,11 +49,11 @@
   start (): void {
     void this.watchDesiredState()
     void this.loop(async () => {
-      return await this.readEndpoints() ? ENDPOINTS_MS[this.pace] : undefined
+      return await this.readEndpoints() ? ENDPOINT_LIST_PERIODS_MS[this.pace] : undefined
     }, (wake) => {
       this.wakeEndpoints = wake
     })
-    void this.loop(async () => await this.readRecords() ? RECORDS_MS[this.pace] : undefined, (wake) => {
+    void this.loop(async () => await this.readRecords() ? RECORD_LIST_PERIODS_MS[this.pace] : undefined, (wake) => {
       this.wakeRecords = wake
     })
   }
@@ -62,8 +62,8 @@
   setPace (pace: ListPace): void {
     const before = this.pace
     this.pace = pace
-    if (ENDPOINTS_MS[pace] < ENDPOINTS_MS[before]) this.wakeEndpoints()
-    if (RECORDS_MS[pace] < RECORDS_MS[before]) this.wakeRecords()
+    if (ENDPOINT_LIST_PERIODS_MS[pace] < ENDPOINT_LIST_PERIODS_MS[before]) this.wakeEndpoints()
+    if (RECORD_LIST_PERIODS_MS[pace] < RECORD_LIST_PERIODS_MS[before]) this.wakeRecords()
   }
 
   /** Wakes the polling of the records and requires that its next read is not stale. */
@@ -107,7 +107,7 @@
   }
 
   /** @returns the revision from which to continue the watch, or undefined if the state must be read in full again */
-  private handleDesired (update: DesiredNews): number | undefined {
+  private handleDesired (update: DesiredReadResult): number | undefined {
     if (update.type === 'forgotten') return undefined
     this.reportUnreadable('desiredState', update.unreadable ? 1 : 0)
     if (update.state !== undefined) this.post({ type: 'desired', state: update.state })
