--- a/packages/bench/src/shard/shardFleet.ts
+++ b/packages/bench/src/shard/shardFleet.ts
@@ -4,7 +4,7 @@
  * repeated exactly.
  */
 import type { ListPace, ShardEffect, ShardInput, ShardSettings } from '@cranberryyard/core/shard'
-import { ENDPOINTS_MS, RECORDS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
+import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS, SHARD_DEFAULTS, ShardInstance, seededRandom } from '@cranberryyard/core/shard'
 import type { Random } from '@cranberryyard/core'
 import { FencedEndpointModel, RecordStoreModel, ShardOracle } from '@cranberryyard/fakes'
 import type { ModelTask } from '@cranberryyard/fakes'
@@ -241,7 +241,7 @@
 
   private addEndpoint (id: string, domain: FailureDomain): void {
     this.domainOf.set(id, domain)
-    this.endpoints.set(id, new FencedEndpointModel(id, this.randomBelow(3) === 0 ? 48_000 : 32_000, this.time.now, (run, how) => this.oracle.ended(run, how)))
+    this.endpoints.set(id, new FencedEndpointModel(id, this.randomBelow(3) === 0 ? 48_000 : 32_000, this.time.now, (run, how) => this.oracle.recordEnd(run, how)))
   }
 
   private makeCore (name: InstanceId, domain: FailureDomain, incarnation: number): ShardInstance {
@@ -275,7 +275,7 @@
 
   /** Starts to read the lists at a new pace: the first time at once, or after one period when the pace slows down. */
   private setPace (process: Process, pace: ListPace): void {
-    const slowsDown = ENDPOINTS_MS[pace] > ENDPOINTS_MS[process.pace]
+    const slowsDown = ENDPOINT_LIST_PERIODS_MS[pace] > ENDPOINT_LIST_PERIODS_MS[process.pace]
     process.pace = pace
     const change = ++process.paceChanges
     const repeatEvery = (period: number, step: () => void, first: number): void => {
@@ -285,8 +285,8 @@
         repeatEvery(period, step, period)
       })
     }
-    repeatEvery(RECORDS_MS[pace], () => this.readRecords(process), slowsDown ? RECORDS_MS[pace] : 0)
-    repeatEvery(ENDPOINTS_MS[pace], () => this.readEndpoints(process), slowsDown ? ENDPOINTS_MS[pace] : 0)
+    repeatEvery(RECORD_LIST_PERIODS_MS[pace], () => this.readRecords(process), slowsDown ? RECORD_LIST_PERIODS_MS[pace] : 0)
+    repeatEvery(ENDPOINT_LIST_PERIODS_MS[pace], () => this.readEndpoints(process), slowsDown ? ENDPOINT_LIST_PERIODS_MS[pace] : 0)
   }
 
   private canReachStore (process: Process): boolean {
@@ -452,7 +452,7 @@
     this.sendOrder<Outcome>(process, effect.endpoint, effect.timeoutMs, (endpoint, answer) => {
       const previousRun = endpoint.runs.get(effect.task)
       const reply = endpoint.start(this.time.now, { token: effect.token, task: effect.task, run: effect.run, spec, untilMs: effect.notAfter })
-      if (reply === 'started' && endpoint.runs.get(effect.task) !== previousRun) this.oracle.started(endpoint, effect.task, this.time.now, this.hadSteadyContact(process))
+      if (reply === 'started' && endpoint.runs.get(effect.task) !== previousRun) this.oracle.recordStart(endpoint, effect.task, this.time.now, this.hadSteadyContact(process))
       answer(reply === 'started' ? { type: 'started', clock: endpoint.clock(this.time.now) as EndpointClockMs } : { type: reply })
     }, outcome => ({ type: 'taskStartOutcome', endpoint: effect.endpoint, orderId: effect.orderId, outcome }))
   }
@@ -477,9 +477,9 @@
   private sendSubmission (job: CallerJob, at: InstanceId, spec: ModelTask, attempt: number): void {
     const process = this.process(at)
     const callId = `${at}-${++this.callCounter}`
-    this.oracle.submitted(job.id, job.tasks)
+    this.oracle.recordSubmission(job.id, job.tasks)
     const onReply = (reply: 'completed' | 'failed' | 'refused' | 'other'): void => {
-      this.oracle.replied(job.id, reply, this.time.now)
+      this.oracle.recordReply(job.id, reply, this.time.now)
       if (reply === 'other' && attempt < 4) {
         const names = [...this.processes.keys()]
         this.time.after(CALLER_RESEND_DELAY_MS, () => this.sendSubmission(job, names[this.randomBelow(names.length)] ?? at, spec, attempt + 1))
