--- a/packages/core/src/contracts/changeRules.ts
+++ b/packages/core/src/contracts/changeRules.ts
@@ -57,8 +57,8 @@
   const current = findContract(fleet, contract.customer)
   const denied = checkMayChange(actor, contract, current)
   if (denied !== undefined) return Result.err(denied)
-  const clash = checkKeysUnique(fleet, contract)
-  if (clash !== undefined) return Result.err(clash)
+  const keyConflict = checkKeysUnique(fleet, contract)
+  if (keyConflict !== undefined) return Result.err(keyConflict)
   const actual = current?.revision ?? 0
   if (actual !== change.expectedRevision) {
     return Result.err(codedError('revisionConflict', `planned on revision ${change.expectedRevision}, but revision ${actual} is current`, 'expectedRevision'))
@@ -84,17 +84,17 @@
 
 function checkBounds ({ limits, bounds }: Contract): CodedError | undefined {
   const keys = ['running', 'startsPerSecond', 'queued'] as const
-  const over = keys.find(k => limits[k] > bounds[k])
-  if (over === undefined) return undefined
-  return codedError('outOfBounds', `${limits[over]} is above the bound ${bounds[over]}`, `limits.${over}`)
+  const exceeded = keys.find(k => limits[k] > bounds[k])
+  if (exceeded === undefined) return undefined
+  return codedError('outOfBounds', `${limits[exceeded]} is above the bound ${bounds[exceeded]}`, `limits.${exceeded}`)
 }
 
 /** Rejects key hashes that another contract lists: a key must identify one customer, or the caller would be ambiguous. */
 function checkKeysUnique (fleet: Fleet, contract: Contract): CodedError | undefined {
   const others = fleet.contracts.filter(r => r.contract.customer !== contract.customer)
-  const taken = new Set(others.flatMap(r => [...r.contract.callers, ...r.contract.staff]).map(k => k.keyHash))
-  const clash = [...contract.callers, ...contract.staff].find(k => taken.has(k.keyHash))
-  return clash === undefined ? undefined : codedError('invalidContract', 'a key hash is in use by another contract', clash.name)
+  const usedHashes = new Set(others.flatMap(r => [...r.contract.callers, ...r.contract.staff]).map(k => k.keyHash))
+  const duplicate = [...contract.callers, ...contract.staff].find(k => usedHashes.has(k.keyHash))
+  return duplicate === undefined ? undefined : codedError('invalidContract', 'a key hash is in use by another contract', duplicate.name)
 }
 
 /**
--- a/packages/core/src/contracts/contractsDecider.ts
+++ b/packages/core/src/contracts/contractsDecider.ts
@@ -121,7 +121,7 @@
     this.adopt(fleet, revision)
     this.db.storeRevision = Math.max(this.db.storeRevision, revision)
     this.settleAccepted()
-    if (isNewer) this.pushToDomain()
+    if (isNewer) this.publishFleet()
     this.useStore()
   }
 
@@ -173,7 +173,7 @@
     else this.noteStoreFailure()
   }
 
-  /** @returns true when this instance watches the store for its failure domain: no live instance there that is not leaving is older */
+  /** @returns true when this instance watches the store for its failure domain, as the oldest live instance there that is not leaving */
   isWatcher (): boolean {
     const { self } = this.ctx
     const older = this.membership.liveInDomain().filter(m => m.status !== 'leaving' && compareByIncarnation(m, self) < 0)
@@ -188,7 +188,7 @@
     this.adopt(fleet, revision)
     this.confirm()
     this.settleAccepted()
-    this.pushToDomain()
+    this.publishFleet()
     this.useStore()
   }
 
@@ -332,7 +332,8 @@
     for (const listener of this.listeners) listener.fleetAdopted(fleet, previous)
   }
 
-  private pushToDomain (): void {
+  /** Sends the value to the own failure domain, and its version to the oldest serving instance of each other domain. */
+  private publishFleet (): void {
     for (const m of this.membership.liveInDomain()) this.sendFleet(m.instance)
     const domains = new Set([this.ctx.self.failureDomain])
     for (const m of this.membership.serving()) {
--- a/packages/core/src/deduplication/deduplicationDb.ts
+++ b/packages/core/src/deduplication/deduplicationDb.ts
@@ -8,7 +8,7 @@
 
 /** Number of buckets that requests are hashed into. Each bucket has its own holders. */
 export const BUCKETS = 256
-/** Number of holders of each claim. A majority of two decides, so one holder may fail. */
+/** Number of holders of each claim. Two of the three decide, so one holder may fail. */
 export const CLAIM_COPIES = 3
 
 /**
--- a/packages/core/src/instance/context.ts
+++ b/packages/core/src/instance/context.ts
@@ -22,9 +22,9 @@
 
   /** @returns the effects queued since the last call, in order; the queue is empty afterwards */
   takeEffects (): Effect[] {
-    const taken = this.effects
+    const queued = this.effects
     this.effects = []
-    return taken
+    return queued
   }
 
   /**
--- a/packages/core/src/instance/instance.ts
+++ b/packages/core/src/instance/instance.ts
@@ -116,7 +116,7 @@
       case 'casOutcome': return this.contracts.casOutcome(input.attempt, input.result)
       case 'archiveOutcome': return this.contracts.archiveOutcome(input.through, input.ok)
       case 'instanceList': return this.instanceList(input)
-      case 'peers': return this.pinPeerAddresses(input)
+      case 'peers': return this.setConfiguredAddresses(input)
       case 'change': return this.contracts.receiveChange(input.callId, input.request)
       case 'leave': return this.leave()
     }
@@ -252,8 +252,8 @@
     this.scheduling.startWaitingTasks()
   }
 
-  private pinPeerAddresses (input: Extract<Input, { type: 'peers' }>): void {
-    for (const peer of input.peers) this.membership.db.fixAddress(peer.instance, peer.address)
+  private setConfiguredAddresses (input: Extract<Input, { type: 'peers' }>): void {
+    for (const peer of input.peers) this.membership.db.setConfiguredAddress(peer.instance, peer.address)
   }
 
   private instanceList (input: Extract<Input, { type: 'instanceList' }>): void {
--- a/packages/core/src/jobs/jobsDecider.ts
+++ b/packages/core/src/jobs/jobsDecider.ts
@@ -67,9 +67,9 @@
       this.refuse(callId, codedError('unauthorized', 'unknown key'))
       return
     }
-    const home = acceptingInstanceOf(submissionId)
-    if (home === this.ctx.self.instance) this.replyLocal(callId, customer, submissionId)
-    else this.requestAnswerFromHome(callId, customer, submissionId, home)
+    const front = acceptingInstanceOf(submissionId)
+    if (front === this.ctx.self.instance) this.replyLocal(callId, customer, submissionId)
+    else this.requestAnswerFromFront(callId, customer, submissionId, front)
   }
 
   /** Cancels a submission in flight at this instance; the call then waits for the answer like any other. */
@@ -293,12 +293,12 @@
   }
 
   /**
-   * Handles a request that an earlier submission has claimed: the answer to that one is requested from its home, the
-   * instance that accepted it. If the home is not live, the job is refused as a duplicate.
+   * Handles a request that an earlier submission has claimed: the answer to that submission is requested from its front,
+   * the instance that accepted it. If the front is not live, the job is refused as a duplicate.
    */
   private awaitEarlierAnswer (job: FrontJob, earlier: SubmissionId): void {
-    const home = acceptingInstanceOf(earlier)
-    if (home === this.ctx.self.instance) {
+    const front = acceptingInstanceOf(earlier)
+    if (front === this.ctx.self.instance) {
       const retained = this.db.answerOf(earlier)
       this.earlierAnswerReceived(job, retained?.answer ?? null, this.db.get(earlier) !== undefined)
       return
@@ -376,8 +376,8 @@
   }
 
   /**
-   * A scheduler is lost when it has been silent for too long, was forgotten or has restarted. A broken connection alone
-   * does not count, because the scheduler may still run the job and answer.
+   * A scheduler is lost when no heartbeat of it has arrived for `suspectMs`, or when it was forgotten or has restarted.
+   * A broken connection alone does not count, because the scheduler may still run the job and answer.
    */
   private isSchedulerLost (job: FrontJob): boolean {
     const { scheduler } = job
@@ -416,13 +416,13 @@
     this.replyToCall(callId, retained?.customer === customer ? retained.answer : null, pending, submissionId)
   }
 
-  private requestAnswerFromHome (callId: string, customer: CustomerId, submissionId: SubmissionId, home: InstanceId): void {
-    const member = this.parts.membership.db.get(home)
+  private requestAnswerFromFront (callId: string, customer: CustomerId, submissionId: SubmissionId, front: InstanceId): void {
+    const member = this.parts.membership.db.get(front)
     if (member === undefined || !this.parts.membership.isLive(member)) {
       this.replyToCall(callId, null, false)
       return
     }
-    this.parts.membership.send(home, { type: 'answerRequest', submissionId, customer, replyTo: callId })
+    this.parts.membership.send(front, { type: 'answerRequest', submissionId, customer, replyTo: callId })
   }
 
   private replyToCall (callId: string, answer: Answer | null, pending: boolean, submissionId?: SubmissionId): void {
--- a/packages/core/src/jobs/types.ts
+++ b/packages/core/src/jobs/types.ts
@@ -21,7 +21,7 @@
   /** Instance and incarnation that the job was last forwarded to. */
   scheduler: { readonly instance: InstanceId, readonly incarnation: number } | undefined
   forwardedAt: Ms
-  /** When to ask the scheduler whether it has the job; set once the connection to it broke. */
+  /** Time of the next check whether the scheduler has the job; set once the connection to it broke. */
   checkAt: Ms | undefined
   /** Instances that returned the job unstarted; it is not forwarded to them again. */
   readonly excluded: Set<string>
--- a/packages/core/src/limits/limitsDb.ts
+++ b/packages/core/src/limits/limitsDb.ts
@@ -74,7 +74,10 @@
     else this.tables.push(table)
   }
 
-  /** Drops each table whose successor starts at or before `version`, the oldest one that an instance may still follow. */
+  /**
+   * Drops the tables that no instance can follow any more: those followed by a table that starts at or before `version`.
+   * @param version - oldest fleet version that an instance may still follow
+   */
   dropTablesBefore (version: number): void {
     while (this.tables.length > 1 && (this.tables[1]?.fromVersion ?? Infinity) <= version) this.tables.shift()
   }
--- a/packages/core/src/limits/limitsDecider.ts
+++ b/packages/core/src/limits/limitsDecider.ts
@@ -170,7 +170,7 @@
     if (sequence <= (this.lastSequenceByBorrower.get(borrower) ?? 0)) return
     this.lastSequenceByBorrower.set(borrower, sequence)
     this.dropUnlistedLoans(borrower, wishes)
-    const grants = wishes.map(wish => this.lend(borrower, wish, validMs))
+    const grants = wishes.map(demand => this.lend(borrower, demand, validMs))
     sendPeer(this.ctx, from, address, { type: 'permitGrant', lender, sequence, validMs, grants })
   }
 
@@ -235,8 +235,8 @@
    * Grants a loan. The lender counts it as used for longer than the borrower may use it: a task started at the
    * last moment runs until its start window, the clock skew and its lease have passed.
    */
-  private lend (to: HolderId, wish: PermitDemand, validMs: Ms): PermitCount {
-    const { customer, hold, want } = wish
+  private lend (to: HolderId, demand: PermitDemand, validMs: Ms): PermitCount {
+    const { customer, hold, want } = demand
     const { now, cfg } = this.ctx
     const { startWindowMs, clockSkewMs, taskLeaseMs } = cfg.limits
     const previous = this.db.lent.get(to, customer)
@@ -280,7 +280,10 @@
     return Math.min(loan.count, Math.max(0, this.db.runningOf(customer) - others))
   }
 
-  /** Sends requests: when renewing, to all lenders with a loan or a wish, otherwise only to those asked for more permits. */
+  /**
+   * Sends permit requests. A renewal goes to every lender from which permits are borrowed or wanted, any other round
+   * only to lenders from which more permits are wanted.
+   */
   private requestPermits (isRenewal: boolean): void {
     const lenders = this.liveLenders()
     if (lenders.length === 0) return
--- a/packages/core/src/limits/loanPlanner.ts
+++ b/packages/core/src/limits/loanPlanner.ts
@@ -10,8 +10,8 @@
 import type { CountQueuedTasks } from './types.js'
 
 /**
- * Least number of permits to request from one lender, if that many are missing, at the highest message weight.
- * Larger requests go to fewer lenders and so need fewer messages.
+ * Smallest number of additional permits to request from one lender when `messageWeight` is 1; fewer are requested when
+ * fewer are missing. Larger requests go to fewer lenders and so need fewer messages.
  */
 const PERMITS_PER_REQUEST_AT_FULL_WEIGHT = 64
 /** Half-life, in loan renewals, of a remembered peak in demand. */
@@ -84,7 +84,7 @@
       surplus -= returned
       const extra = Math.max(0, Math.min(portion, missing, this.requestableFrom(lender, customer) - borrowed))
       missing -= extra
-      addWish(plan, lender, { customer, hold: borrowed - returned, want: borrowed - returned + extra })
+      addDemand(plan, lender, { customer, hold: borrowed - returned, want: borrowed - returned + extra })
     }
   }
 
@@ -103,20 +103,20 @@
     return Math.ceil(PERMITS_PER_REQUEST_AT_FULL_WEIGHT * this.ctx.cfg.routing.messageWeight)
   }
 
-  /** Requests no more permits from a lender that granted fewer than wanted, for one renewal period; others are asked instead. */
+  /** Marks a lender that granted fewer permits than wanted, so that for one renewal period more are requested only from others. */
   noteExhausted (lender: HolderId, wishes: readonly PermitDemand[], grants: readonly PermitCount[]): void {
     const until = ms(this.ctx.now + this.ctx.cfg.limits.loanRenewMs)
-    for (const wish of wishes) {
-      const granted = grants.find(g => g.customer === wish.customer)?.count ?? 0
-      if (granted < wish.want) this.exhaustedUntil.set(`${lender} ${wish.customer}`, until)
+    for (const demand of wishes) {
+      const granted = grants.find(g => g.customer === demand.customer)?.count ?? 0
+      if (granted < demand.want) this.exhaustedUntil.set(`${lender} ${demand.customer}`, until)
     }
   }
 }
 
-function addWish (plan: Map<HolderId, LenderPlan>, lender: HolderId, wish: PermitDemand): void {
-  if (wish.want === 0) return
+function addDemand (plan: Map<HolderId, LenderPlan>, lender: HolderId, demand: PermitDemand): void {
+  if (demand.want === 0) return
   const entry = plan.get(lender) ?? { wishes: [], wantsMore: false }
-  entry.wishes.push(wish)
-  entry.wantsMore ||= wish.want > wish.hold
+  entry.wishes.push(demand)
+  entry.wantsMore ||= demand.want > demand.hold
   plan.set(lender, entry)
 }
--- a/packages/core/src/membership/membershipDb.ts
+++ b/packages/core/src/membership/membershipDb.ts
@@ -13,7 +13,7 @@
 export class MembershipDb {
   private readonly members = new Map<InstanceId, Member>()
   private readonly addresses = new Map<InstanceId, string>()
-  private readonly fixedAddresses = new Map<InstanceId, string>()
+  private readonly configuredAddresses = new Map<InstanceId, string>()
   private readonly acknowledgedAt = new Map<InstanceId, Ms>()
   private readonly ownHeartbeats = new Map<number, Ms>()
 
@@ -63,17 +63,17 @@
   }
 
   /**
-   * Records an address from the settings. It is the address as this instance has to reach it, so it wins over all
-   * others.
+   * Records an address from the settings. It overrides all other addresses of the instance, because it is the one under
+   * which this instance can reach it.
    */
-  fixAddress (instance: InstanceId, address: string): void {
-    this.fixedAddresses.set(instance, address)
+  setConfiguredAddress (instance: InstanceId, address: string): void {
+    this.configuredAddresses.set(instance, address)
     this.learnAddress(instance, address)
   }
 
-  /** @returns the peer address of an instance, from the settings if they have one; undefined when unknown */
+  /** @returns the peer address of an instance, from the settings if they contain it; undefined when unknown */
   addressOf (instance: InstanceId): string | undefined {
-    return this.fixedAddresses.get(instance) ?? this.addresses.get(instance)
+    return this.configuredAddresses.get(instance) ?? this.addresses.get(instance)
   }
 
   /** @returns instances of which the address is known, but no heartbeat */
@@ -94,8 +94,8 @@
   forget (instance: InstanceId): void {
     this.members.delete(instance)
     this.addresses.delete(instance)
-    const fixed = this.fixedAddresses.get(instance)
-    if (fixed !== undefined) this.addresses.set(instance, fixed)
+    const configured = this.configuredAddresses.get(instance)
+    if (configured !== undefined) this.addresses.set(instance, configured)
     this.acknowledgedAt.delete(instance)
   }
 }
--- a/packages/core/src/membership/membershipDecider.ts
+++ b/packages/core/src/membership/membershipDecider.ts
@@ -14,7 +14,7 @@
 const DOMAIN_FANOUT = 2
 /** Largest number of entries about other domains in one message; keeps an instance within its bytes per second. */
 const REMOTE_ENTRIES_MAX = 4
-/** A member that has been silent for this long is forgotten. */
+/** A member is forgotten when no heartbeat of it has arrived for this long. */
 const FORGET_AFTER_MS = 120_000
 
 /** The fields of this instance's own entry that other parts of it contribute. */
@@ -88,7 +88,7 @@
    */
   isLive (member: Member): boolean {
     if (member.linkDown) return false
-    return this.ctx.now - member.lastHeartbeatAt < this.silenceLimitMs(member.failureDomain)
+    return this.ctx.now - member.lastHeartbeatAt < this.heartbeatTimeoutMs(member.failureDomain)
   }
 
   /** @returns live members that accept new work, without this instance, the earliest incarnation first */
@@ -117,12 +117,12 @@
   }
 
   /**
-   * Lists roster entries of the own domain whose instances have been silent for so long that they are no longer
+   * Lists roster entries of the own domain whose instances have sent no heartbeat for so long that they are no longer
    * acknowledged and no longer use their shares.
    * @param roster - entries of the roster
    * @returns entries with the time of the last heartbeat; undefined when this incarnation has sent none
    */
-  silentInDomain (roster: readonly RosterEntry[]): { entry: RosterEntry, lastHeartbeatAt: Ms | undefined }[] {
+  unresponsiveInDomain (roster: readonly RosterEntry[]): { entry: RosterEntry, lastHeartbeatAt: Ms | undefined }[] {
     const { self, cfg } = this.ctx
     const limit = cfg.limits.isolationMs + cfg.membership.heartbeatMs
     return roster
@@ -182,7 +182,7 @@
     return member?.incarnation === entry.incarnation ? member.lastHeartbeatAt : undefined
   }
 
-  private silenceLimitMs (domain: FailureDomain): number {
+  private heartbeatTimeoutMs (domain: FailureDomain): number {
     const { cfg, self } = this.ctx
     if (domain !== self.failureDomain) return cfg.membership.suspectMs
     return cfg.limits.isolationMs + 2 * cfg.membership.heartbeatMs
--- a/packages/core/src/roster/rosterDecider.ts
+++ b/packages/core/src/roster/rosterDecider.ts
@@ -1,8 +1,8 @@
 /**
  * Proposes changes of the roster, which lists the instances that have a share of the limits. An instance joins once it
- * serves and removes itself when it has drained. The oldest serving instance of a failure domain also removes silent
- * entries of the domain, once these can no longer use their share. Only members of the same domain do that, so a
- * domain that is cut off as a whole keeps its shares.
+ * serves and removes itself when it has drained. The oldest serving instance of a failure domain also removes the
+ * domain's unresponsive entries, once these can no longer use their share. Only members of the same domain do that, so
+ * a domain that is cut off from all others keeps its shares.
  */
 import type { Fleet, MemberStatus, Ms, RosterEntry } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -14,7 +14,7 @@
 
 /** Time that a heartbeat may take to reach another instance of the domain. */
 const PROPAGATION_MS = 300
-/** An entry without any heartbeat counts as silent only after this instance has observed its domain for this long. */
+/** An entry without any heartbeat counts as unresponsive only after this instance has observed its domain for this long. */
 const OBSERVATION_MS = 4000
 /**
  * The claim voters are aligned with the roster once it has been unchanged for this long, so that many joins at once
@@ -47,7 +47,7 @@
       case 'starting': return
       case 'serving':
         this.join()
-        this.removeSilent()
+        this.removeUnresponsive()
         this.assignVoters()
         return
       case 'leaving': this.leave()
@@ -55,8 +55,8 @@
   }
 
   /**
-   * @returns true when this incarnation is not on the roster, or when it cannot be removed because the store is out
-   * of reach
+   * @returns true when this incarnation is not on the roster, or when it cannot be removed because the store is
+   * unreachable
    */
   hasLeft (): boolean {
     return !this.isListed() || !this.contracts.storeReachable
@@ -83,9 +83,9 @@
     this.contracts.propose({ type: 'remove', holder, failureDomain, waitMs: ms(0) })
   }
 
-  private removeSilent (): void {
+  private removeUnresponsive (): void {
     if (!this.limits.isAcknowledged || !this.isOldestOfDomain()) return
-    for (const { entry, lastHeartbeatAt } of this.membership.silentInDomain(this.entries())) {
+    for (const { entry, lastHeartbeatAt } of this.membership.unresponsiveInDomain(this.entries())) {
       if (lastHeartbeatAt === undefined && !this.hasObservedLongEnough()) continue
       const elapsed = lastHeartbeatAt === undefined ? 0 : this.ctx.now - lastHeartbeatAt
       const waitMs = ms(Math.max(0, this.removalWaitMs() - elapsed))
--- a/packages/core/src/routing/routingDb.ts
+++ b/packages/core/src/routing/routingDb.ts
@@ -21,12 +21,12 @@
   replace (list: readonly EndpointInfo[]): EndpointId[] {
     const listed = new Set(list.map(e => e.id))
     for (const info of list) this.update(info)
-    const gone = [...this.endpoints.values()].filter(e => !listed.has(e.info.id))
-    for (const state of gone) {
+    const delisted = [...this.endpoints.values()].filter(e => !listed.has(e.info.id))
+    for (const state of delisted) {
       state.info = { ...state.info, leaving: true }
       if (state.running === 0) this.endpoints.delete(state.info.id)
     }
-    return gone.map(e => e.info.id)
+    return delisted.map(e => e.info.id)
   }
 
   private update (info: EndpointInfo): void {
--- a/packages/core/src/routing/routingDecider.ts
+++ b/packages/core/src/routing/routingDecider.ts
@@ -19,7 +19,7 @@
 import { BUSY_PAUSE_MIN_MS, RoutingDb } from './routingDb.js'
 import type { EndpointState, Placement, TaskSize } from './types.js'
 
-/** There are no more schedulers than leave each of them this many endpoints; one scheduler there is always. */
+/** Smallest number of endpoints for each scheduler. It limits the number of schedulers, of which there is always at least one. */
 const ENDPOINTS_PER_SCHEDULER_MIN = 2
 /** Longest pause after repeated refusals by one endpoint. */
 const BUSY_PAUSE_MAX_MS = 320
@@ -50,7 +50,7 @@
 
   /** Adopts the platform's list of endpoints. */
   adoptEndpointList (list: readonly EndpointInfo[]): void {
-    for (const gone of this.db.replace(list)) this.health.db.forget(gone)
+    for (const delisted of this.db.replace(list)) this.health.db.forget(delisted)
     this.assignmentKey = ''
     this.applyOrders()
     this.refresh()
@@ -160,7 +160,7 @@
   }
 
   /**
-   * The policies `twoChoices` and `random`, baselines for comparison: draws endpoints at random and takes the one
+   * The policies `twoChoices` and `random`, baselines for comparison: draws endpoints at random and chooses the one
    * that runs the fewest tasks of this instance. What other instances run there is not known; full endpoints refuse.
    */
   private randomEndpoint (size: TaskSize, choices: number): EndpointState | undefined {
--- a/packages/core/src/scheduling/schedulingDecider.ts
+++ b/packages/core/src/scheduling/schedulingDecider.ts
@@ -1,8 +1,8 @@
 /**
  * The scheduler of an instance: it queues the jobs handed to this instance, starts their tasks on endpoints, renews
  * the leases of running tasks, and composes the one answer of each job. A task runs at most once: it is started again
- * only after its endpoint has refused the start, which guarantees that the task has not run. Which instance
- * schedules a job, and what happens before and after, is decided in jobs/ and routing/.
+ * only after its endpoint has refused the start, which guarantees that the task has not run. The folder routing/
+ * chooses the instance that schedules a job, and jobs/ handles a submission before and after scheduling.
  */
 import type { Answer, EndpointId, Ms, StartOutcome, SubmissionId, TaskId, CustomerId } from '@cranberryyard/protocol'
 import { RESULT_CODES, ms, taskId } from '@cranberryyard/protocol'
@@ -28,7 +28,7 @@
   readonly bounds: (customer: CustomerId) => { queued: number, running: number } | undefined
 }
 
-/** Decides when and where tasks start, and what is answered. */
+/** Decides when and where tasks start, and composes the answers of jobs. */
 export class SchedulingDecider {
   readonly db: SchedulingDb
   /** Customers with waiting tasks; one whose tasks have all left the queue is removed at the next count. */
@@ -151,8 +151,8 @@
   }
 
   /**
-   * Handles the outcome of a renewal request. After a failure the leases of its tasks are due again at once. A task
-   * that has ended at its endpoint without this instance hearing of it is not detected here.
+   * Handles the outcome of a renewal request. After a failure the leases of its tasks are due again at once. A
+   * renewal also succeeds for a task that has ended at its endpoint and whose answer was lost; that is not detected here.
    * @param tasks - the tasks in the request
    * @param renewed - false when the renewal failed
    */
@@ -252,9 +252,9 @@
   }
 
   /**
-   * Latest time at which a task that is started or renewed now may still run if nothing more is heard of it: the
-   * request may take effect at the end of the start window, by a clock that is off by the allowed skew, and the lease
-   * begins then.
+   * Latest time at which a task that is started or renewed now may still run if its lease is not renewed again. The
+   * request may take effect as late as the end of the start window, on a clock that is off by the allowed skew, and the
+   * lease begins then.
    */
   private leaseEnd (): Ms {
     const { startWindowMs, clockSkewMs, taskLeaseMs } = this.ctx.cfg.limits
--- a/packages/core/src/scheduling/types.ts
+++ b/packages/core/src/scheduling/types.ts
@@ -45,7 +45,7 @@
   readonly address: string
   readonly startedAt: Ms
   renewedAt: Ms
-  /** If nothing more is heard of the task, the endpoint has ended it by this time. */
+  /** Time by which the endpoint has ended the task if its lease is not renewed again. */
   leaseUntil: Ms
   /**
    * True once the connection was lost after the start was sent. The task may still run, so its permit and slot
@@ -63,7 +63,7 @@
 
 /**
  * State of a forwarded job at its scheduler. `held`: the scheduler still works on it. `neverArrived`: the forward was
- * lost, so nothing has run. `forgotten`: the scheduler can no longer tell whether anything has run.
+ * lost, so nothing has run. `forgotten`: the scheduler no longer knows whether anything has run.
  */
 export type ForwardedState =
   | { readonly type: 'held' }
--- a/packages/protocol/src/dispatch.ts
+++ b/packages/protocol/src/dispatch.ts
@@ -107,7 +107,7 @@
   readonly ageMs: Ms
   /** Time until the caller stops waiting. */
   readonly remainingMs: Ms
-  /** Number of times that the front has sent the job. A decline repeats it, since it applies to that copy only. */
+  /** Number of times that the front has sent the job. A decline carries the same number, because it does not apply to later copies. */
   readonly attempt: number
   /** True when runs started by an earlier owner may still exist. */
   readonly resumed: boolean
--- a/packages/protocol/src/tomlFile.ts
+++ b/packages/protocol/src/tomlFile.ts
@@ -23,9 +23,9 @@
     const part = path[i]
     if (typeof part === 'number') continue
     const nth = typeof path[i + 1] === 'number' ? Number(path[i + 1]) : 0
-    const found = findLine(lines, from, String(part), nth)
-    if (found < 0) break
-    from = found
+    const lineIndex = findLine(lines, from, String(part), nth)
+    if (lineIndex < 0) break
+    from = lineIndex
   }
   return from + (path.length > 0 ? 1 : 0)
 }
