--- a/packages/core/src/health/healthDecider.ts
+++ b/packages/core/src/health/healthDecider.ts
@@ -1,5 +1,5 @@
 /**
- * Quarantines endpoints that fail their tasks (state `setAside`) and takes them back into use after a successful probe.
+ * Quarantines endpoints that fail their tasks (state `setAside`) and uses them again, as suspects, after a successful probe.
  * After one failure an endpoint is suspect and gets one task at a time; a second failure, from another job, puts it in
  * quarantine. If a kind fails on several endpoints, the fault is taken to be the kind's, so that a job that can
  * never run takes no endpoint out of use.
--- a/packages/core/src/limits/limitsDecider.ts
+++ b/packages/core/src/limits/limitsDecider.ts
@@ -233,7 +233,7 @@
 
   /**
    * Grants a loan. The lender counts it as used for longer than the borrower may use it: a task started at the
-   * last moment runs until its start window, the clock skew and its lease have passed.
+   * last moment may run until its start window, the clock skew and its lease have passed.
    */
   private lend (to: HolderId, demand: PermitDemand, validMs: Ms): PermitCount {
     const { customer, hold, want } = demand
--- a/packages/core/src/routing/routingDb.ts
+++ b/packages/core/src/routing/routingDb.ts
@@ -16,7 +16,7 @@
   /**
    * Adopts the platform's list. An endpoint that is no longer listed counts as leaving and keeps its record while
    * tasks run on it.
-   * @returns endpoints with a record that the list no longer has
+   * @returns endpoints with a record that are no longer listed
    */
   replace (list: readonly EndpointInfo[]): EndpointId[] {
     const listed = new Set(list.map(e => e.id))
--- a/packages/protocol/src/dispatch.ts
+++ b/packages/protocol/src/dispatch.ts
@@ -17,7 +17,7 @@
 export type ServiceName = Brand<string, 'ServiceName'>
 /** Fencing token of a shard's owner. An endpoint refuses an order whose token is lower than the highest it has seen. */
 export type FencingToken = Brand<number, 'FencingToken'>
-/** A time on the clock of one endpoint, which starts when the endpoint starts. */
+/** A time on the clock of one endpoint. The clock starts together with the endpoint. */
 export type EndpointClockMs = Brand<number, 'EndpointClockMs'>
 
 /** Resources that a task needs or an endpoint has. */
@@ -158,7 +158,7 @@
   /** The answer could not be parsed. */
   | 'unreadable'
 
-/** Outcome of a hold, the request that returns an endpoint's listing and, while tasks run there, renews the lease on it. */
+/** Outcome of a hold, the request that returns an endpoint's listing and extends the lease on the endpoint while tasks run there. */
 export type HoldOutcome =
   | { readonly type: 'listed', readonly listing: EndpointListing }
   | { readonly type: OrderFailure }
--- a/packages/protocol/src/shardMessages.ts
+++ b/packages/protocol/src/shardMessages.ts
@@ -21,7 +21,7 @@
   readonly load: ShardLoad
 }
 
-/** An owner's report on a shard of another owner, with which it has direct contact. */
+/** An owner's report on a shard of another owner from which it receives messages directly. */
 export interface OtherShard extends OwnedShard {
   readonly owner: InstanceId
   readonly address: string
