--- a/packages/core/src/routing/routingDb.ts
+++ b/packages/core/src/routing/routingDb.ts
@@ -16,17 +16,17 @@
   /**
    * Adopts the platform's list. An endpoint that is no longer listed counts as leaving and keeps its record while
    * tasks run on it.
-   * @returns endpoints with a record that the list no longer has
+   * @returns endpoints with a record that are no longer listed
    */
   replace (list: readonly EndpointInfo[]): EndpointId[] {
     const listed = new Set(list.map(e => e.id))
     for (const info of list) this.update(info)
-    const gone = [...this.endpoints.values()].filter(e => !listed.has(e.info.id))
-    for (const state of gone) {
+    const delisted = [...this.endpoints.values()].filter(e => !listed.has(e.info.id))
+    for (const state of delisted) {
       state.info = { ...state.info, leaving: true }
       if (state.running === 0) this.endpoints.delete(state.info.id)
     }
-    return gone.map(e => e.info.id)
+    return delisted.map(e => e.info.id)
   }
 
   private update (info: EndpointInfo): void {
