--- a/packages/bench/src/fuzz/mutations.ts
+++ b/packages/bench/src/fuzz/mutations.ts
@@ -1,9 +1,9 @@
 /**
- * Seeded mutations of core, one line each, that the oracle must catch. They are applied to compiled files as a
- * test process loads them; nothing that ships contains them.
+ * Deliberate faults in core, one line each, that the oracle must catch. They are applied to compiled files when a
+ * test process loads them, so no published file contains them.
  */
 
-/** One mutation. */
+/** A replacement of one text in a compiled file. */
 export interface Mutation {
   readonly name: string
   /** File below core's dist folder. */
@@ -14,7 +14,6 @@
   readonly caughtBy: string
 }
 
-/** All mutations. */
 export const MUTATIONS: readonly Mutation[] = [
   {
     name: 'startsWithoutPermit',
--- a/packages/bench/src/shard/calmCost.spec.ts
+++ b/packages/bench/src/shard/calmCost.spec.ts
@@ -4,7 +4,7 @@
 
 const DOMAINS = ['a', 'b', 'c', 'd', 'e']
 const INSTANCES_PER_DOMAIN = 6
-/** Time after which the instance with the most processor time owns the shard of its domain. */
+/** After this time, the instance with the most processor time in each domain owns its shard. */
 const SETTLED_MS = 8000
 const OBSERVED_MS = 5000
 
--- a/packages/bench/src/shard/shardFleet.ts
+++ b/packages/bench/src/shard/shardFleet.ts
@@ -40,7 +40,7 @@
 const STEADY_CONTACT_MS = 3000
 const SERVICE = 'workers' as ServiceName
 
-/** Size of a fleet, its seed, and settings that differ from the defaults. */
+/** Size and seed of a fleet, and settings that differ from the defaults. */
 export interface FleetOptions {
   readonly domains: readonly string[]
   readonly instancesPerDomain: number
--- a/packages/bench/src/shard/shardMutations.ts
+++ b/packages/bench/src/shard/shardMutations.ts
@@ -9,11 +9,11 @@
 type Undo = () => void
 type Method = (...args: never[]) => unknown
 
-/** A fault and the rules of which at least one must be seen broken. */
+/** A fault and the rules of which at least one must be violated. */
 export interface ShardMutation {
   readonly name: string
   readonly breaks: readonly Rule[]
-  /** Seeds that show it, found by `npm run fuzz:shard`. */
+  /** Seeds whose scenarios detect the fault, found with `npm run fuzz:shard`. */
   readonly seeds: readonly number[]
   readonly apply: () => Undo
 }
--- a/packages/bench/src/shard/takeover.spec.ts
+++ b/packages/bench/src/shard/takeover.spec.ts
@@ -2,9 +2,9 @@
 import type { InstanceId } from '@cranberryyard/protocol'
 import { ShardFleet } from './shardFleet.js'
 
-/** Longest time from the loss of an owner until its shard completes jobs again, for a killed and for a silent owner. */
+/** Longest time from the loss of an owner until its shard completes jobs again, for an owner that is killed and for one that freezes. */
 const KILLED_TAKEOVER_TARGET_MS = 500
-const SILENT_TAKEOVER_TARGET_MS = 1500
+const FROZEN_TAKEOVER_TARGET_MS = 1500
 const WORK_MS = 10
 const JOB_PERIOD_MS = 20
 const OWNER = 'a-1' as InstanceId
@@ -26,10 +26,10 @@
   fleet.run(300)
   const lostAt = fleet.time.now
   causeOwnerLoss(fleet)
-  for (let at = 1; at < SILENT_TAKEOVER_TARGET_MS * 2; at += JOB_PERIOD_MS) {
+  for (let at = 1; at < FROZEN_TAKEOVER_TARGET_MS * 2; at += JOB_PERIOD_MS) {
     fleet.time.after(at, () => fleet.submit(SUBMISSION_INSTANCE, 1, { cpuMilli: 8000, workMs: WORK_MS, fails: false }))
   }
-  fleet.run(SILENT_TAKEOVER_TARGET_MS * 2)
+  fleet.run(FROZEN_TAKEOVER_TARGET_MS * 2)
   expect(fleet.oracle.violations).to.deep.equal([])
   const done = fleet.jobs.filter(job => job.reply === 'completed' && job.sentAt > lostAt)
   return Math.min(...done.map(job => job.sentAt + (job.latencyMs ?? Infinity) - lostAt))
@@ -73,9 +73,9 @@
       expect(Math.max(...takeoverTimesMs)).to.be.at.most(KILLED_TAKEOVER_TARGET_MS)
     })
 
-    it(`takes at most ${SILENT_TAKEOVER_TARGET_MS} ms after the owner stops responding, ${store}`, () => {
+    it(`takes at most ${FROZEN_TAKEOVER_TARGET_MS} ms after the owner stops responding, ${store}`, () => {
       const takeoverTimesMs = [1, 2, 3, 4].map(seed => measureTakeoverMs(seed, storeDown, fleet => fleet.freeze(OWNER, BEYOND_TEST_MS)))
-      expect(Math.max(...takeoverTimesMs)).to.be.at.most(SILENT_TAKEOVER_TARGET_MS)
+      expect(Math.max(...takeoverTimesMs)).to.be.at.most(FROZEN_TAKEOVER_TARGET_MS)
     })
   }
 })
--- a/packages/dispatcher/src/callers/callerTask.ts
+++ b/packages/dispatcher/src/callers/callerTask.ts
@@ -47,7 +47,7 @@
     return this.calls.size
   }
 
-  /** Sends the submission's id to a caller that asked for the id only; other callers wait on for the answer. */
+  /** Sends the submission's id to a caller that asked for the id only; other callers stay connected until the answer. */
   onAccepted (effect: EffectOf<'accepted'>): void {
     const call = this.calls.get(effect.callId)
     if (call === undefined || call.waitsForAnswer) return
--- a/packages/dispatcher/src/shard/jobServerTask.ts
+++ b/packages/dispatcher/src/shard/jobServerTask.ts
@@ -1,7 +1,7 @@
 /**
  * Owns the callers' port and the readiness port. It turns requests into inputs, writes one answer to each, and reports
- * callers that disconnect before their answer. Sockets and body limits stay here, so that the decisions in `core` know a
- * call only by its id.
+ * callers that disconnect before their answer. Sockets and body limits stay here, so that the decision logic in `core`
+ * knows a call only by its id.
  */
 import type { ShardEffect, ShardInput } from '@cranberryyard/core/shard'
 import { ms } from '@cranberryyard/protocol'
@@ -14,9 +14,9 @@
 /** Longest time that a caller may take to send its request. */
 const SENDER_TIMEOUT_MS = 3000
 /** Largest request body; a few times the size of a job with the longest text. */
-const BODY_BYTES_MAX = 1_048_576
+const MAX_BODY_BYTES = 1_048_576
 
-/** Tells whether a path belongs to a queue. */
+/** Whether a path at a host belongs to a queue. */
 export type HasQueue = (host: string, path: string) => boolean
 
 /** Serves callers and readiness probes. */
@@ -64,10 +64,10 @@
     let bytes = 0
     req.on('data', (chunk: Buffer) => {
       bytes += chunk.length
-      if (bytes <= BODY_BYTES_MAX) chunks.push(chunk)
+      if (bytes <= MAX_BODY_BYTES) chunks.push(chunk)
     })
     req.on('end', () => {
-      if (bytes > BODY_BYTES_MAX) this.send(res, this.wire.answerTooLarge())
+      if (bytes > MAX_BODY_BYTES) this.send(res, this.wire.answerTooLarge())
       else this.handleRequest(req, res, Buffer.concat(chunks).toString('utf8'))
     })
     req.on('error', () => res.destroy())
--- a/packages/dispatcher/src/shard/linkTask.ts
+++ b/packages/dispatcher/src/shard/linkTask.ts
@@ -21,7 +21,7 @@
 /** Bounds on decoded messages; the largest message is a desired state with a few thousand queues. */
 const DECODE_LIMITS = { context: undefined, maxStrLength: 1_048_576, maxArrayLength: 100_000, maxMapLength: 1000, maxBinLength: 0, maxExtLength: 16 }
 
-/** Inputs that the connections post to the decisions. */
+/** Inputs that the link task posts to the decision logic. */
 export type LinkEvent =
   | { readonly type: 'peer', readonly from: InstanceId, readonly message: ShardMessage }
   /** The message was not sent, since no connection to the peer could be established. */
@@ -106,7 +106,10 @@
     if (from !== undefined && !this.closed) this.post({ type: 'linkDown', peer: from })
   }
 
-  /** Posts a message. An exception in the decisions must not be taken for a connection error, so it is rethrown outside the read loop and ends the process. */
+  /**
+   * Posts a message. An exception in the decision logic must not count as a connection error, so it is rethrown outside the
+   * read loop and ends the process.
+   */
   private deliver (from: InstanceId, message: ShardMessage): void {
     try {
       this.post({ type: 'peer', from, message })
--- a/packages/dispatcher/src/shard/messageCheck.spec.ts
+++ b/packages/dispatcher/src/shard/messageCheck.spec.ts
@@ -54,7 +54,7 @@
     expect(incomplete.filter(message => isShardMessage(message as { type: string }))).to.deep.equal([])
   })
 
-  it('lets no message through that makes the decisions throw, whatever one of its fields holds', () => {
+  it('lets no message through that makes the decision logic throw, whatever value one of its fields has', () => {
     fc.assert(fc.property(fc.array(corruptedMessage, { minLength: 1, maxLength: 4 }), (messages) => {
       const instance = new ShardInstance({ self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: 'd' as FailureDomain, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS })
       const usable = [...VALID_MESSAGES, ...messages].filter((message): message is ShardMessage => isShardMessage(message as { type: string }))
--- a/packages/dispatcher/src/shard/messageCheck.ts
+++ b/packages/dispatcher/src/shard/messageCheck.ts
@@ -1,5 +1,5 @@
 /**
- * Validates messages of other instances before the decisions handle them. A peer may run another version or may not be
+ * Validates messages of other instances before the decision logic handles them. A peer may run another version or may not be
  * an instance at all; a field that is missing or has another type must close its connection, not crash this process.
  */
 import type { ShardMessage } from '@cranberryyard/protocol'
--- a/packages/dispatcher/src/shard/metricsServer.ts
+++ b/packages/dispatcher/src/shard/metricsServer.ts
@@ -1,6 +1,6 @@
 /**
- * Serves counters and latency histograms as text on the metrics address. It is separate so that the decisions in `core`
- * only keep totals and do not depend on the metrics library.
+ * Serves counters and latency histograms as text on the metrics address. It is separate so that the decision logic in
+ * `core` only keeps totals and does not depend on the metrics library.
  */
 import type { ShardCounterName } from '@cranberryyard/core/shard'
 import { SHARD_COUNTERS } from '@cranberryyard/core/shard'
--- a/packages/dispatcher/src/shard/orderTask.ts
+++ b/packages/dispatcher/src/shard/orderTask.ts
@@ -1,6 +1,6 @@
 /**
- * Sends orders (hold, start and stop) to endpoints and posts the outcome of each. It never retries: the decisions in
- * `core` decide whether an order without an answer is repeated, since it may have taken effect.
+ * Sends orders (hold, start and stop) to endpoints and posts the outcome of each. It never retries: the decision
+ * logic in `core` decides whether an order without an answer is repeated, since it may have taken effect.
  */
 import type { ShardEffect, ShardInput } from '@cranberryyard/core/shard'
 import type { Ms } from '@cranberryyard/protocol'
--- a/packages/dispatcher/src/shard/shardDaemon.ts
+++ b/packages/dispatcher/src/shard/shardDaemon.ts
@@ -15,7 +15,7 @@
 import { StoreTask } from './storeTask.js'
 import type { PlatformWires } from './wires.js'
 
-/** Tick period of a shard owner, which on each tick repeats unanswered orders and decides on waiting jobs. */
+/** Tick period of a shard owner. On each tick it repeats unanswered orders and decides on waiting jobs. */
 const OWNER_TICK_MS = 25
 /** Tick period of an instance that owns no shard but has open jobs of callers; longer, since each tick costs processor time. */
 const ACTIVE_TICK_MS = 50
@@ -73,7 +73,7 @@
     this.metrics = new MetricsServer(this.core.ctx.out.counters)
   }
 
-  /** Binds the ports, starts the decisions and the store loops, and begins to tick. */
+  /** Binds the ports, starts the decision logic and the store loops, and begins to tick. */
   async start (): Promise<void> {
     const { listen: addresses, clock, self } = this.options
     await this.links.listen(addresses.peers.ip, addresses.peers.port)
@@ -81,7 +81,7 @@
     await listen(this.jobs.readiness, addresses.readiness.ip, addresses.readiness.port)
     if (addresses.metrics !== undefined) this.metrics.listen(addresses.metrics.ip, addresses.metrics.port)
     this.log.write('info', 'process.started', { address: self.address, callers: `${addresses.callers.ip}:${addresses.callers.port}`, uptimeMs: Math.round(process.uptime() * 1000) })
-    this.carryOutAll(this.core.start(clock.now()))
+    this.executeEffects(this.core.start(clock.now()))
     this.store.start()
     this.tick()
     setInterval(() => this.log.flush(), LOG_FLUSH_MS)
@@ -135,14 +135,14 @@
 
   private post (input: ShardInput): void {
     const { clock } = this.options
-    this.carryOutAll(this.core.handle(input, clock.now(), clock.wall()))
+    this.executeEffects(this.core.handle(input, clock.now(), clock.wall()))
   }
 
-  private carryOutAll (effects: readonly ShardEffect[]): void {
-    for (const effect of effects) this.carryOut(effect)
+  private executeEffects (effects: readonly ShardEffect[]): void {
+    for (const effect of effects) this.executeEffect(effect)
   }
 
-  private carryOut (effect: ShardEffect): void {
+  private executeEffect (effect: ShardEffect): void {
     switch (effect.type) {
       case 'reply': return this.jobs.reply(effect)
       case 'send': return this.links.send(effect)
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -1,6 +1,6 @@
 /**
  * Owns the connection to the platform's store: watches the desired state, polls the lists of endpoints and records at
- * the period that the decisions ask for, and carries out writes. Each call has a deadline, and failed reads are repeated
+ * the period that `core` asks for, and executes writes. Each call has a deadline, and failed reads are repeated
  * with backoff. Timeouts and retries belong here; the platform adapter only translates calls and replies.
  */
 import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS } from '@cranberryyard/core/shard'
@@ -18,7 +18,7 @@
 const WATCH_SLACK_MS = 400
 /** Longest time without data during a read; a slow store answers within a few hundred milliseconds. */
 const READ_IDLE_TIMEOUT_MS = ms(800)
-/** Longest time for a whole read: 1 MB, the largest value or page, takes 8 s at 1 Mbit/s. */
+/** Longest time until a read is complete: 1 MB, the largest value or page, takes 8 s at 1 Mbit/s. */
 const READ_TOTAL_TIMEOUT_MS = ms(8000)
 const WRITE_TIMEOUT_MS = ms(800)
 /** Bounds of the exponential backoff after failed reads. Jitter keeps instances from retrying at the same time. */
--- a/packages/dispatcher/src/utils/httpServer.ts
+++ b/packages/dispatcher/src/utils/httpServer.ts
@@ -87,8 +87,8 @@
 /**
  * Maps a result code to an HTTP status.
  * @param code - a result code
- * @returns the HTTP status. Codes without an entry in the table give 500 from 2000 to 2999, the failed answers, and 503
- *   otherwise, since a retry may succeed.
+ * @returns the HTTP status; for a code that the table does not list, 500 if it is between 2000 and 2999 (a failed answer) and
+ *   503 otherwise, since a retry may succeed
  */
 export function statusOf (code: number): number {
   const name = NAME_OF_CODE.get(code)
--- a/packages/dispatcher/src/utils/structuredLog.ts
+++ b/packages/dispatcher/src/utils/structuredLog.ts
@@ -1,8 +1,8 @@
 /**
  * Writes structured log lines to standard output asynchronously, one JSON object per line. The number of lines per second
  * and the buffered bytes are bounded; lines over the rate are counted, and a separate line reports the count. A reader
- * that stalls therefore loses lines but never delays the process. The shard daemon uses this log; `log.ts` is the one of
- * the other daemon.
+ * that stalls therefore loses lines but never delays the process. The shard daemon uses this log; the entry daemon in
+ * `daemon.ts` uses `log.ts`.
  */
 import { pino } from 'pino'
 import type { DestinationStream, Logger } from 'pino'
--- a/packages/fakes/src/endpointModel.ts
+++ b/packages/fakes/src/endpointModel.ts
@@ -43,7 +43,7 @@
 /** Factor by which a straggler takes longer for a task. */
 const STRAGGLER_FACTOR = 8
 /** Number of started task ids that the endpoint remembers in order to refuse a repeated start. */
-const STARTED_IDS_MAX = 200_000
+const MAX_STARTED_IDS = 200_000
 
 /** The model of one endpoint. */
 export class EndpointModel {
@@ -62,7 +62,7 @@
    * @param request - the start request
    * @param now - monotonic time in milliseconds
    * @param wall - wall-clock time in milliseconds
-   * @param finish - called once with the outcome, before this method returns in case of a refusal
+   * @param finish - called once with the outcome, for a refusal before this method returns
    */
   start (request: StartRequest, now: number, wall: number, finish: (outcome: StartOutcome) => void): void {
     this.advance(now)
@@ -145,7 +145,7 @@
 
   private rememberStartedId (id: TaskId): void {
     this.startedIds.add(id)
-    if (this.startedIds.size <= STARTED_IDS_MAX) return
+    if (this.startedIds.size <= MAX_STARTED_IDS) return
     const [oldest] = this.startedIds
     if (oldest !== undefined) this.startedIds.delete(oldest)
   }
--- a/packages/fakes/src/shardOracle.ts
+++ b/packages/fakes/src/shardOracle.ts
@@ -6,7 +6,7 @@
 
 /**
  * The invariants. A violation means:
- * - FAULT: an instance process ended by itself
+ * - FAULT: an instance process exited although the run had not ended it
  * - RECOVER: too few jobs were completed after the last fault
  * - LIMIT: the runs at an endpoint exceeded its capacity
  * - TWICE: two runs of one task were active at once
