--- a/packages/bench/src/shard/shardFuzz.spec.ts
+++ b/packages/bench/src/shard/shardFuzz.spec.ts
@@ -10,7 +10,7 @@
 /** Seeds that once violated an invariant, with the cause. */
 const REGRESSION_SEEDS = [
   { seed: 9314, cause: 'an instance took over that had read the endpoint list only once, while entries were missing' },
-  { seed: 9423, cause: 'runs at an endpoint that still answered were given up because its entry was missing' },
+  { seed: 9423, cause: 'runs at an endpoint that still answered were abandoned because its entry was missing' },
   { seed: 9429, cause: 'an earlier owner had runs at endpoints that the new owner did not know' }
 ] as const
 /** Exceeds the capacity of the fleet, so that instances decline jobs too. */
--- a/packages/bench/src/shard/shardScenario.ts
+++ b/packages/bench/src/shard/shardScenario.ts
@@ -20,7 +20,7 @@
   readonly refused: number
   /** Number of jobs that had no final reply at the end of the run. */
   readonly unanswered: number
-  /** Share of completed jobs among those submitted in the last 2.5 s of submissions, which follow at least 5.5 s without new faults. */
+  /** Share of completed jobs among the jobs of the last 2.5 s. The last fault is injected at least 5.5 s before them. */
   readonly calmShare: number
   /** Time in virtual milliseconds and description of each fault. */
   readonly faults: readonly string[]
--- a/packages/dispatcher/src/callers/callerTask.ts
+++ b/packages/dispatcher/src/callers/callerTask.ts
@@ -23,7 +23,7 @@
 export class CallerTask {
   private readonly calls = new Map<string, Call>()
   private lastCallNumber = 0
-  /** Result of the health check; the load balancer takes the instance out while it is false. */
+  /** Result of the health check; the load balancer sends no requests to the instance while it is false. */
   healthy = false
   server: Server | undefined
 
--- a/packages/dispatcher/src/platform/platformTask.ts
+++ b/packages/dispatcher/src/platform/platformTask.ts
@@ -10,7 +10,7 @@
 import type { EffectOf, Post } from '../messages.js'
 
 const FLEET_KEY = 'fleet'
-/** Time that a watch request gets beyond the wait that it asks the platform for. */
+/** Time allowed for the response to a watch in addition to the wait that the request states. */
 const WATCH_MARGIN_MS = 2000
 /** Errors that occur before anything is sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
--- a/packages/dispatcher/src/shard/httpCaller.ts
+++ b/packages/dispatcher/src/shard/httpCaller.ts
@@ -8,7 +8,10 @@
 import type { Dispatcher } from 'undici'
 import type { HttpCall, HttpReply } from './wires.js'
 
-/** How a call ended. `refused`: nothing listens at the address, so nothing was sent. `silent`: no complete answer arrived in time; the call may still take effect. */
+/**
+ * How a call ended. `refused`: nothing listens at the address, so nothing was sent. `silent`: no complete answer arrived in
+ * time; the call may still take effect.
+ */
 export type CallResult =
   | { readonly type: 'reply', readonly reply: HttpReply }
   | { readonly type: 'refused' }
@@ -23,11 +26,11 @@
 export interface CallTimeouts {
   /** Longest time without data: until the answer begins, and between two parts of it. */
   readonly idleTimeoutMs: Ms
-  /** Longest time until the answer is complete. If it is not longer than the idle timeout, data that arrives extends nothing. */
+  /** Longest time until the answer is complete. If this is not longer than the idle timeout, arriving data does not prolong the call. */
   readonly totalTimeoutMs: Ms
 }
 
-/** A call in flight: collects the answer and reports exactly once, no later than its timeout. */
+/** A call in flight: collects the answer and reports exactly once, at the latest when it times out. */
 class PendingCall implements Dispatcher.DispatchHandler {
   private controller: Dispatcher.DispatchController | undefined
   private status = 0
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -12,7 +12,7 @@
 
 type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
-/** How long the store may hold a watch open. Short enough that a watch on a dead connection is renewed within the platform's grace period. */
+/** How long the store may keep a watch waiting; short enough to renew a watch on a dead connection within the platform's grace period. */
 const WATCH_WAIT_MS = ms(2000)
 /** Time that a watch may take beyond its wait before it counts as failed. */
 const WATCH_SLACK_MS = 400
@@ -72,7 +72,7 @@
     this.wakeRecords()
   }
 
-  /** Registers this instance. A failed write is not retried here; it is repeated once the records show that the registration is missing. */
+  /** Registers this instance. A failed write is not retried here, but repeated once the records lack the registration. */
   async writeMember (record: MemberRecord): Promise<void> {
     await this.write(this.wire.writeMember(record))
     this.refreshRecords()
--- a/packages/dispatcher/src/shard/wires.ts
+++ b/packages/dispatcher/src/shard/wires.ts
@@ -1,7 +1,7 @@
 /**
- * The interfaces that a platform adapter implements: translations between the types of this product and the HTTP calls
- * of the platform. An adapter does no I/O; the tasks in this folder own connections, timeouts and retries. This keeps
- * everything that is specific to one platform out of the daemon.
+ * The interfaces that a platform adapter implements. Each of these wires translates between the types of this product and
+ * the wire format of one HTTP interface of the platform. An adapter does no I/O; the tasks in this folder own connections,
+ * timeouts and retries. This keeps everything that is specific to one platform out of the daemon.
  */
 import type {
   DesiredState,
--- a/packages/dispatcher/src/utils/structuredLog.ts
+++ b/packages/dispatcher/src/utils/structuredLog.ts
@@ -68,7 +68,7 @@
     this.logger = pino({ base, timestamp: pino.stdTimeFunctions.isoTime, messageKey: 'event' }, this.destination)
   }
 
-  /** Writes a line unless the budget of the current second is exhausted; at most once per second, also reports suppressed lines. */
+  /** Writes a line unless the budget of the current second is exhausted. Also reports suppressed lines, at most once per second. */
   write (level: 'info' | 'warn', event: string, fields: LineFields): void {
     const now = this.now()
     this.hasUnflushed = true
--- a/packages/fakes/src/endpointFake.ts
+++ b/packages/fakes/src/endpointFake.ts
@@ -35,7 +35,7 @@
     return this.server.port
   }
 
-  /** Closes all connections without a reply and ends no task, as a crash of the endpoint does. */
+  /** Closes all connections without a reply, as a crash of the endpoint does. The model records no end for its tasks. */
   async close (): Promise<void> {
     clearTimeout(this.wakeTimer)
     this.wakeTimer = undefined
--- a/packages/fakes/src/fencedEndpointModel.ts
+++ b/packages/fakes/src/fencedEndpointModel.ts
@@ -35,7 +35,7 @@
   readonly how: 'done' | 'failed' | 'stopped' | 'lapsed'
 }
 
-/** An order to start a run, valid until `untilMs` on the endpoint's clock, up to which it also extends the lease. */
+/** An order to start a run. It is valid until `untilMs` on the endpoint's clock and extends the lease up to that time. */
 export interface ModelStart {
   readonly token: number
   readonly task: string
--- a/packages/fakes/src/platformFake.ts
+++ b/packages/fakes/src/platformFake.ts
@@ -148,7 +148,7 @@
     return this.requestsInSecond[type] > cap
   }
 
-  /** `POST /fake/faults` with some members of PlatformFaults as JSON lets whoever operates a local run switch faults on and off. */
+  /** Handles the control interface. `POST /fake/faults` with some members of PlatformFaults as JSON switches faults of a local run on and off. */
   private handleControl (url: URL, res: ServerResponse, body: string): void {
     if (url.pathname === '/fake/faults') {
       Object.assign(this.faults, JSON.parse(body))
