--- a/packages/dispatcher/src/callers/callerTask.ts
+++ b/packages/dispatcher/src/callers/callerTask.ts
@@ -23,7 +23,7 @@
 export class CallerTask {
   private readonly calls = new Map<string, Call>()
   private lastCallNumber = 0
-  /** Result of the health check; the load balancer takes the instance out while it is false. */
+  /** Result of the health check; the load balancer sends no requests to the instance while it is false. */
   healthy = false
   server: Server | undefined
 
@@ -47,7 +47,7 @@
     return this.calls.size
   }
 
-  /** Sends the submission's id to a caller that asked for the id only; other callers wait on for the answer. */
+  /** Sends the submission's id to a caller that asked for the id only; other callers stay connected until the answer. */
   onAccepted (effect: EffectOf<'accepted'>): void {
     const call = this.calls.get(effect.callId)
     if (call === undefined || call.waitsForAnswer) return
--- a/packages/dispatcher/src/shard/storeTask.ts
+++ b/packages/dispatcher/src/shard/storeTask.ts
@@ -1,6 +1,6 @@
 /**
  * Owns the connection to the platform's store: watches the desired state, polls the lists of endpoints and records at
- * the period that the decisions ask for, and carries out writes. Each call has a deadline, and failed reads are repeated
+ * the period that `core` asks for, and executes writes. Each call has a deadline, and failed reads are repeated
  * with backoff. Timeouts and retries belong here; the platform adapter only translates calls and replies.
  */
 import { ENDPOINT_LIST_PERIODS_MS, RECORD_LIST_PERIODS_MS } from '@cranberryyard/core/shard'
@@ -12,13 +12,13 @@
 
 type EffectOf<T extends ShardEffect['type']> = Extract<ShardEffect, { type: T }>
 
-/** How long the store may hold a watch open. Short enough that a watch on a dead connection is renewed within the platform's grace period. */
+/** How long the store may keep a watch waiting; short enough to renew a watch on a dead connection within the platform's grace period. */
 const WATCH_WAIT_MS = ms(2000)
 /** Time that a watch may take beyond its wait before it counts as failed. */
 const WATCH_SLACK_MS = 400
 /** Longest time without data during a read; a slow store answers within a few hundred milliseconds. */
 const READ_IDLE_TIMEOUT_MS = ms(800)
-/** Longest time for a whole read: 1 MB, the largest value or page, takes 8 s at 1 Mbit/s. */
+/** Longest time until a read is complete: 1 MB, the largest value or page, takes 8 s at 1 Mbit/s. */
 const READ_TOTAL_TIMEOUT_MS = ms(8000)
 const WRITE_TIMEOUT_MS = ms(800)
 /** Bounds of the exponential backoff after failed reads. Jitter keeps instances from retrying at the same time. */
@@ -72,7 +72,7 @@
     this.wakeRecords()
   }
 
-  /** Registers this instance. A failed write is not retried here; it is repeated once the records show that the registration is missing. */
+  /** Registers this instance. A failed write is not retried here, but repeated once the records lack the registration. */
   async writeMember (record: MemberRecord): Promise<void> {
     await this.write(this.wire.writeMember(record))
     this.refreshRecords()
--- a/packages/dispatcher/src/utils/structuredLog.ts
+++ b/packages/dispatcher/src/utils/structuredLog.ts
@@ -1,8 +1,8 @@
 /**
  * Writes structured log lines to standard output asynchronously, one JSON object per line. The number of lines per second
  * and the buffered bytes are bounded; lines over the rate are counted, and a separate line reports the count. A reader
- * that stalls therefore loses lines but never delays the process. The shard daemon uses this log; `log.ts` is the one of
- * the other daemon.
+ * that stalls therefore loses lines but never delays the process. The shard daemon uses this log; the entry daemon in
+ * `daemon.ts` uses `log.ts`.
  */
 import { pino } from 'pino'
 import type { DestinationStream, Logger } from 'pino'
@@ -68,7 +68,7 @@
     this.logger = pino({ base, timestamp: pino.stdTimeFunctions.isoTime, messageKey: 'event' }, this.destination)
   }
 
-  /** Writes a line unless the budget of the current second is exhausted; at most once per second, also reports suppressed lines. */
+  /** Writes a line unless the budget of the current second is exhausted. Also reports suppressed lines, at most once per second. */
   write (level: 'info' | 'warn', event: string, fields: LineFields): void {
     const now = this.now()
     this.hasUnflushed = true
