--- a/packages/core/src/admission/admissionDecider.spec.ts
+++ b/packages/core/src/admission/admissionDecider.spec.ts
@@ -3,7 +3,7 @@
 import { AdmissionDecider } from './admissionDecider.js'
 import type { QueuedWork } from './types.js'
 
-const ROOM = { totalCpuMilli: 100_000, freeCpuMilli: 0 }
+const CAPACITY = { totalCpuMilli: 100_000, freeCpuMilli: 0 }
 
 interface NamedWork extends QueuedWork {
   readonly name: string
@@ -38,7 +38,7 @@
   it('declines on arrival a job that cannot finish while it is useful, and gives a retry delay', () => {
     const admission = new AdmissionDecider<NamedWork>()
     for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
-    const verdict = admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000))
+    const verdict = admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), CAPACITY, ms(1000))
     expect(verdict.type).to.equal('decline')
     if (verdict.type === 'decline') expect(verdict.retryAfterMs).to.be.within(1000, 5000)
   })
@@ -48,7 +48,7 @@
     // Each job occupies the usable capacity for 11.8 ms, so the work of 76 of them fits into the 900 ms within which a start is still useful.
     for (let i = 0; i < 100; i++) admission.db.waiting.add(makeWork(`burst ${i}`))
     admission.db.waiting.add(makeWork('has run', { mayHaveRun: true, onTimeUntil: ms(5000), criticalPathMs: ms(1) }))
-    const declined = admission.jobsToDecline(ROOM, ms(1000)).map(job => job.name)
+    const declined = admission.jobsToDecline(CAPACITY, ms(1000)).map(job => job.name)
     expect(declined.length).to.be.within(20, 30)
     expect(declined).not.to.include('has run')
   })
@@ -56,6 +56,6 @@
   it('admits a job that can finish while it is useful', () => {
     const admission = new AdmissionDecider<NamedWork>()
     for (let i = 0; i < 10; i++) admission.db.waiting.add(makeWork(`ahead ${i}`))
-    expect(admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), ROOM, ms(1000)).type).to.equal('admit')
+    expect(admission.decide(makeWork('new', { onTimeUntil: ms(1300) }), CAPACITY, ms(1000)).type).to.equal('admit')
   })
 })
--- a/packages/core/src/endpoints/endpointList.spec.ts
+++ b/packages/core/src/endpoints/endpointList.spec.ts
@@ -40,7 +40,7 @@
     expect([list.knownInFullSince, list.inFailureDomain(NEAR).map(entry => entry.id)]).to.deep.equal([missingEndpointRetentionMs + 100, ['a']])
   })
 
-  it('gives missing entries the whole span again after a store outage', () => {
+  it('restarts the retention of missing entries after a store outage', () => {
     const { ctx, list, gone } = setUp()
     list.applyList([report('a')], false)
     list.applyList([], false)
--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -28,8 +28,8 @@
   }
 
   /**
-   * When the list was first read after entries that had lapsed before the first read had `missingEndpointRetentionMs` to
-   * come back; undefined before that.
+   * When the list was first read at least `missingEndpointRetentionMs` after the first read. Entries that had lapsed
+   * before the first read have had time to come back by then. Undefined before that.
    */
   get knownInFullSince (): Ms | undefined {
     return this.completeSince
@@ -68,8 +68,8 @@
   }
 
   /**
-   * An endpoint counts as gone when lists have left it out for `missingEndpointRetentionMs`; time without any list does not
-   * count by itself.
+   * Removes an endpoint that lists have left out for `missingEndpointRetentionMs`. This is checked only when a list is read,
+   * because time without any list proves nothing.
    */
   private removeIfGone (id: EndpointId, entry: ListEntry): void {
     const { now, cfg, out } = this.ctx
--- a/packages/core/src/endpoints/endpointsDb.ts
+++ b/packages/core/src/endpoints/endpointsDb.ts
@@ -1,6 +1,6 @@
 /**
- * State of the endpoint ledger: the endpoints of owned shards with their runs, and the arithmetic on room and clocks.
- * It decides nothing; `EndpointsDecider` changes it, and placement reads the room that is left.
+ * State of the endpoint ledger: the endpoints of owned shards with their runs, and the arithmetic on capacity and clocks.
+ * It decides nothing; `EndpointsDecider` changes it, and placement reads the free capacity.
  */
 import type { EndpointClockMs, EndpointId, EndpointReport, FencingToken, Ms, Resources, TaskName } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -8,31 +8,31 @@
 
 export const NO_RESOURCES: Resources = { cpuMilli: 0, memoryMb: 0, accelerators: 0 }
 
-/** Returns the room left at an endpoint; none while a run with unknown needs is there. */
-export function freeRoom (endpoint: LedgerEndpoint): Resources {
-  endpoint.free ??= countFree(endpoint)
-  return endpoint.free
+/** Returns the free capacity of an endpoint, which is none while a run with unknown needs is there. */
+export function freeCapacityOf (endpoint: LedgerEndpoint): Resources {
+  endpoint.freeCapacity ??= computeFreeCapacity(endpoint)
+  return endpoint.freeCapacity
 }
 
-function countFree (endpoint: LedgerEndpoint): Resources {
-  let room = endpoint.report.capacity
+function computeFreeCapacity (endpoint: LedgerEndpoint): Resources {
+  let remaining = endpoint.report.capacity
   for (const run of endpoint.runs.values()) {
     if (run.needs === undefined) return NO_RESOURCES
-    room = minus(room, run.needs)
+    remaining = minus(remaining, run.needs)
   }
-  return room
+  return remaining
 }
 
 export function plus (a: Resources, b: Resources): Resources {
   return { cpuMilli: a.cpuMilli + b.cpuMilli, memoryMb: a.memoryMb + b.memoryMb, accelerators: a.accelerators + b.accelerators }
 }
 
-export function minus (room: Resources, taken: Resources): Resources {
-  return { cpuMilli: room.cpuMilli - taken.cpuMilli, memoryMb: room.memoryMb - taken.memoryMb, accelerators: room.accelerators - taken.accelerators }
+export function minus (available: Resources, used: Resources): Resources {
+  return { cpuMilli: available.cpuMilli - used.cpuMilli, memoryMb: available.memoryMb - used.memoryMb, accelerators: available.accelerators - used.accelerators }
 }
 
-export function fits (needs: Resources, room: Resources): boolean {
-  return needs.cpuMilli <= room.cpuMilli && needs.memoryMb <= room.memoryMb && needs.accelerators <= room.accelerators
+export function fits (needs: Resources, available: Resources): boolean {
+  return needs.cpuMilli <= available.cpuMilli && needs.memoryMb <= available.memoryMb && needs.accelerators <= available.accelerators
 }
 
 /**
@@ -90,10 +90,10 @@
       unansweredHolds: 0,
       answeredAt: now,
       nextHoldAt: now,
-      leaseHorizon: now,
-      quarantineUntil: now,
+      leasesEndBy: now,
+      startsBlockedUntil: now,
       unlisted: false,
-      free: undefined
+      freeCapacity: undefined
     }
     this.endpoints.set(report.id, endpoint)
     return endpoint
@@ -107,21 +107,21 @@
     this.endpoints.delete(id)
   }
 
-  /** Adds a run, which takes up room from now on. */
+  /** Adds a run, which occupies capacity from now on. */
   addRun (endpoint: LedgerEndpoint, run: LedgerRun): void {
     endpoint.runs.set(run.task, run)
-    endpoint.free = undefined
+    endpoint.freeCapacity = undefined
     if (!this.byTask.has(run.task)) this.byTask.set(run.task, run)
   }
 
-  /** Removes a run and frees its room. */
+  /** Removes a run and frees its capacity. */
   removeRun (endpoint: LedgerEndpoint, run: LedgerRun): void {
     endpoint.runs.delete(run.task)
-    endpoint.free = undefined
+    endpoint.freeCapacity = undefined
     if (this.byTask.get(run.task) === run) this.byTask.delete(run.task)
   }
 
-  /** Returns the run of a task that is or may be at work. */
+  /** Returns the run of a task that is or may be in progress. */
   runOf (task: TaskName): LedgerRun | undefined {
     return this.byTask.get(task)
   }
--- a/packages/core/src/endpoints/endpointsDecider.spec.ts
+++ b/packages/core/src/endpoints/endpointsDecider.spec.ts
@@ -4,7 +4,7 @@
 import { SHARD_DEFAULTS } from '../shard/settings.js'
 import { ShardOutbox } from '../shard/types.js'
 import type { ShardContext, ShardEffect } from '../shard/types.js'
-import { freeRoom } from './endpointsDb.js'
+import { freeCapacityOf } from './endpointsDb.js'
 import { EndpointsDecider } from './endpointsDecider.js'
 import type { LedgerEndpoint, LedgerRun, RunListener } from './types.js'
 
@@ -45,7 +45,7 @@
     this.events.push(`found ${run.run}`)
   }
 
-  roomChanged (): void {}
+  capacityChanged (): void {}
   superseded (): void {
     this.events.push('superseded')
   }
@@ -89,7 +89,7 @@
     expect(ledger.usable(endpointOf(ledger))).to.equal(true)
   })
 
-  it('keeps the room of an unanswered start until that start can no longer take effect', () => {
+  it('keeps the capacity of an unanswered start reserved until that start can no longer take effect', () => {
     const { ctx, ledger, listener } = setUp()
     ledger.adopt([REPORT])
     answerHold(ctx, ledger, listing(500))
@@ -98,13 +98,13 @@
       ctx.now = ms(ctx.now + 100)
       ledger.startOutcome(ID, run.orderId, { type: 'silent' })
     }
-    expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(18_000)
+    expect(freeCapacityOf(endpointOf(ledger)).cpuMilli).to.equal(18_000)
     answerHold(ctx, ledger, listing(run.notAfter))
     expect(listener.events).to.deep.equal([])
     ctx.now = ms(ctx.now + 10)
     answerHold(ctx, ledger, listing(run.notAfter + 1))
     expect(listener.events).to.deep.equal(['rejected 1 neverArrived'])
-    expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(32_000)
+    expect(freeCapacityOf(endpointOf(ledger)).cpuMilli).to.equal(32_000)
   })
 
   it('lets runs finish at an endpoint that is no longer listed, and gives it no more work', () => {
@@ -141,9 +141,9 @@
     const run = ledger.db.runOf(TASK)
     if (run === undefined) throw new Error('run is missing')
     ledger.stop(run)
-    expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(0)
+    expect(freeCapacityOf(endpointOf(ledger)).cpuMilli).to.equal(0)
     answerHold(ctx, ledger, listing(540, [], [{ sequence: 1, task: TASK, run: 3, how: 'stopped' }]))
-    expect(freeRoom(endpointOf(ledger)).cpuMilli).to.equal(32_000)
+    expect(freeCapacityOf(endpointOf(ledger)).cpuMilli).to.equal(32_000)
   })
 
   it('reports the runs of an endpoint that does not answer as lost only after their leases have run out', () => {
--- a/packages/core/src/endpoints/endpointsDecider.ts
+++ b/packages/core/src/endpoints/endpointsDecider.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps the ledger of owned endpoints in step with the endpoints themselves. Before anything starts at an endpoint, the
- * endpoint must answer a hold under the present fencing token. Holds then renew leases while runs are at work and report
- * their ends. Orders without an answer are repeated, and their room stays taken as long as they may still take effect.
+ * endpoint must answer a hold under the present fencing token. Holds then renew leases while runs are in progress and
+ * report their ends. Orders without an answer are repeated, and their capacity stays reserved while they may take effect.
  * Which job runs where is decided elsewhere; this module alone knows what may be running.
  */
 import type {
@@ -25,7 +25,7 @@
 import type { LedgerEndpoint, LedgerRun, PendingHold, RejectionReason, RunListener } from './types.js'
 
 /** Consecutive holds without an answer after which leases are no longer renewed, so that runs there are certain to lapse. */
-const SILENT_HOLDS_MAX = 2
+const UNANSWERED_HOLDS_MAX = 2
 /** Longest gap between two holds at which the time of an end is still exact enough to judge the endpoint's speed. */
 const END_TIME_GAP_MAX_MS = 15
 /** How often a start is sent; after that the owner waits until the start can no longer take effect. */
@@ -53,7 +53,7 @@
     for (const report of reports) {
       const known = this.db.get(report.id)
       if (known === undefined) this.requireFreshAnswer(this.db.add(report, this.ctx.now))
-      else Object.assign(known, { report, unlisted: false, free: undefined })
+      else Object.assign(known, { report, unlisted: false, freeCapacity: undefined })
     }
   }
 
@@ -68,7 +68,7 @@
     this.removeUnlisted(endpoint)
   }
 
-  /** Removes all endpoints of a shard and reports nothing about their runs, which belong to another instance now. */
+  /** Removes all endpoints of a shard and reports nothing about their runs, which another instance owns now. */
   release (failureDomain: FailureDomain): void {
     for (const endpoint of [...this.db.all()]) {
       if (endpoint.report.failureDomain === failureDomain) this.db.remove(endpoint.id)
@@ -82,11 +82,11 @@
 
   /**
    * An endpoint may get work when it answers under the present token in the incarnation that the store lists, and is
-   * neither draining nor unlisted nor in quarantine.
+   * neither draining nor unlisted. Starts sent to an earlier incarnation must no longer be able to arrive there.
    */
   usable (endpoint: LedgerEndpoint): boolean {
-    const { report, answeredUnderToken, unansweredHolds, bornAt, quarantineUntil, unlisted } = endpoint
-    return answeredUnderToken && unansweredHolds === 0 && !report.draining && !unlisted && bornAt === report.bornAt && quarantineUntil <= this.ctx.now
+    const { report, answeredUnderToken, unansweredHolds, bornAt, startsBlockedUntil, unlisted } = endpoint
+    return answeredUnderToken && unansweredHolds === 0 && !report.draining && !unlisted && bornAt === report.bornAt && startsBlockedUntil <= this.ctx.now
   }
 
   /** Starts a run. The caller has checked that the run fits and that the endpoint is `usable`. */
@@ -98,7 +98,7 @@
     return run
   }
 
-  /** Stops a run. Its room stays taken until the endpoint lists the end. */
+  /** Stops a run. Its capacity stays reserved until the endpoint lists the end. */
   stop (run: LedgerRun): void {
     const endpoint = this.db.get(run.endpoint)
     if (endpoint === undefined || run.state === 'stopping') return
@@ -111,7 +111,7 @@
   claim (run: LedgerRun, needs: Resources): void {
     run.needs = needs
     const endpoint = this.db.get(run.endpoint)
-    if (endpoint !== undefined) endpoint.free = undefined
+    if (endpoint !== undefined) endpoint.freeCapacity = undefined
     if (run.state === 'unclaimed') run.state = 'running'
     this.ctx.out.count('shard.tasks.adopted')
   }
@@ -127,12 +127,12 @@
     }
   }
 
-  /** Repeats stops without an answer, sends holds that are due, and gives up runs whose leases have run out. */
+  /** Repeats stops without an answer, sends holds that are due, and reports runs as lost whose leases have run out. */
   tick (): void {
     for (const endpoint of [...this.db.all()]) {
       this.removeUnlisted(endpoint)
       for (const run of endpoint.runs.values()) this.resendStopIfDue(endpoint, run)
-      if (endpoint.unansweredHolds > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leaseHorizon) this.reportRunsLost(endpoint)
+      if (endpoint.unansweredHolds > 0 && endpoint.runs.size > 0 && this.ctx.now > endpoint.leasesEndBy) this.reportRunsLost(endpoint)
       if (endpoint.hold === undefined && this.ctx.now >= endpoint.nextHoldAt) this.sendHold(endpoint)
     }
   }
@@ -200,7 +200,7 @@
 
   private resendStopIfDue (endpoint: LedgerEndpoint, run: LedgerRun): void {
     if (run.state !== 'stopping') return
-    if (this.ctx.now - run.lastSentAt >= this.ctx.cfg.orderTimeoutMs && endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendStop(endpoint, run)
+    if (this.ctx.now - run.lastSentAt >= this.ctx.cfg.orderTimeoutMs && endpoint.unansweredHolds < UNANSWERED_HOLDS_MAX) this.sendStop(endpoint, run)
   }
 
   private requireFreshAnswer (endpoint: LedgerEndpoint): void {
@@ -215,9 +215,9 @@
     const { now, cfg } = this.ctx
     const token = this.tokenOf(endpoint.report.failureDomain)
     if (token === undefined) return
-    const extend = endpoint.answeredUnderToken && endpoint.unansweredHolds < SILENT_HOLDS_MAX && endpoint.runs.size > 0 && endpoint.clockOffset !== undefined
+    const extend = endpoint.answeredUnderToken && endpoint.unansweredHolds < UNANSWERED_HOLDS_MAX && endpoint.runs.size > 0 && endpoint.clockOffset !== undefined
     const extendTo = extend ? (endpointClock(endpoint, now) + cfg.leaseMs) as EndpointClockMs : undefined
-    if (extendTo !== undefined) this.extendHorizon(endpoint, extendTo)
+    if (extendTo !== undefined) this.recordLeaseEnd(endpoint, extendTo)
     const waitMs = extend && endpoint.unansweredHolds === 0 ? cfg.holdWaitMs : ms(0)
     const orderId = ++this.orderCounter
     endpoint.hold = { orderId, token, sentAt: now, endTimeKnown: now - endpoint.answeredAt <= END_TIME_GAP_MAX_MS || endpoint.runs.size === 1 }
@@ -244,17 +244,17 @@
     const { out, now, cfg, self } = this.ctx
     out.count('shard.holds.silent')
     endpoint.unansweredHolds++
-    if (endpoint.unansweredHolds === SILENT_HOLDS_MAX) {
+    if (endpoint.unansweredHolds === UNANSWERED_HOLDS_MAX) {
       out.log('endpoint.silent', { endpoint: endpoint.id, failureDomain: endpoint.report.failureDomain, why, runs: endpoint.runs.size, lastAnswerAgeMs: Math.round(now - endpoint.answeredAt), owner: self.instance }, 'warn')
     }
-    if (endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendHold(endpoint)
+    if (endpoint.unansweredHolds < UNANSWERED_HOLDS_MAX) this.sendHold(endpoint)
     else endpoint.nextHoldAt = ms(now + cfg.silentHoldPeriodMs)
   }
 
   private applyListing (endpoint: LedgerEndpoint, listing: EndpointListing, hold: PendingHold): void {
     const { now, out } = this.ctx
     if (endpoint.bornAt !== undefined && endpoint.bornAt !== listing.bornAt) this.endpointRestarted(endpoint, listing.bornAt)
-    if (endpoint.unansweredHolds >= SILENT_HOLDS_MAX) out.log('endpoint.answers', { endpoint: endpoint.id, silentMs: Math.round(now - endpoint.answeredAt) })
+    if (endpoint.unansweredHolds >= UNANSWERED_HOLDS_MAX) out.log('endpoint.answers', { endpoint: endpoint.id, silentMs: Math.round(now - endpoint.answeredAt) })
     endpoint.bornAt = listing.bornAt
     endpoint.clockOffset = listing.clock - now
     endpoint.unansweredHolds = 0
@@ -263,7 +263,7 @@
     this.applyRunning(endpoint, listing.running)
     this.resolveMissingRuns(endpoint, listing, hold.sentAt)
     endpoint.answeredUnderToken = true
-    this.listener.roomChanged()
+    this.listener.capacityChanged()
   }
 
   private applyEnds (endpoint: LedgerEndpoint, listing: EndpointListing, endTimeKnown: boolean): void {
@@ -328,7 +328,7 @@
     out.count('shard.endpoints.reborn')
     out.log('endpoint.reborn', { endpoint: endpoint.id, bornAt, before: endpoint.bornAt, runs: endpoint.runs.size }, 'warn')
     const hasUnansweredStart = [...endpoint.runs.values()].some(run => run.state === 'ordered')
-    if (hasUnansweredStart) endpoint.quarantineUntil = ms(now + LATE_ORDER_MS)
+    if (hasUnansweredStart) endpoint.startsBlockedUntil = ms(now + LATE_ORDER_MS)
     endpoint.acknowledged = 0
     this.reportRunsLost(endpoint)
   }
@@ -346,7 +346,7 @@
     const token = this.tokenOf(endpoint.report.failureDomain)
     if (token === undefined) return
     run.notAfter = (endpointClock(endpoint, now) + cfg.startValidMs) as EndpointClockMs
-    this.extendHorizon(endpoint, run.notAfter)
+    this.recordLeaseEnd(endpoint, run.notAfter)
     this.stampOrder(run, token)
     out.count('shard.tasks.started')
     out.push({
@@ -381,9 +381,9 @@
   }
 
   /** Records that leases may now last until the given time on the endpoint's clock. */
-  private extendHorizon (endpoint: LedgerEndpoint, until: EndpointClockMs): void {
+  private recordLeaseEnd (endpoint: LedgerEndpoint, until: EndpointClockMs): void {
     const { now, cfg } = this.ctx
-    endpoint.leaseHorizon = ms(Math.max(endpoint.leaseHorizon, latestLeaseEnd(endpoint, until, now, cfg.clockDrift, cfg.leaseSlackMs)))
+    endpoint.leasesEndBy = ms(Math.max(endpoint.leasesEndBy, latestLeaseEnd(endpoint, until, now, cfg.clockDrift, cfg.leaseSlackMs)))
   }
 
   private startConfirmed (endpoint: LedgerEndpoint, run: LedgerRun, clock: EndpointClockMs): void {
@@ -394,17 +394,17 @@
     this.listener.runStarted(run)
   }
 
-  /** After a repeated start, a rejection proves nothing about the earlier sends; their room is kept until they expire. */
+  /** After a repeated start, a rejection proves nothing about the earlier sends; their capacity stays reserved until they expire. */
   private startRejected (endpoint: LedgerEndpoint, run: LedgerRun, reason: Exclude<RejectionReason, 'neverArrived'>): void {
     this.ctx.out.count('shard.tasks.startRejected')
     if (run.sends > 1) return
     this.db.removeRun(endpoint, run)
     this.listener.runRejected(run, reason)
-    this.listener.roomChanged()
+    this.listener.capacityChanged()
   }
 
   private retryStart (endpoint: LedgerEndpoint, run: LedgerRun): void {
-    if (run.sends < START_SENDS_MAX && endpoint.unansweredHolds < SILENT_HOLDS_MAX) this.sendStart(endpoint, run)
+    if (run.sends < START_SENDS_MAX && endpoint.unansweredHolds < UNANSWERED_HOLDS_MAX) this.sendStart(endpoint, run)
   }
 
   /** Ignores the refusal of a token that this instance has itself replaced since; the shard may still be its own. */
--- a/packages/core/src/endpoints/types.ts
+++ b/packages/core/src/endpoints/types.ts
@@ -1,7 +1,7 @@
 /**
  * Types of the endpoint ledger: the owner's view of each endpoint of its shards and of the runs there, and the interface
- * through which changes of runs are reported. The ledger counts room for everything that may still take effect, so it can
- * list runs that the endpoint itself has already ended or will never start.
+ * through which changes of runs are reported. The ledger reserves capacity for every run that may still take effect, so it can
+ * contain runs that the endpoint itself has already ended or will never start.
  */
 import type {
   EndpointClockMs,
@@ -18,11 +18,12 @@
 /**
  * State of a run in the ledger.
  * `ordered`: the start was sent and not yet answered; it may still take effect until `notAfter`.
- * `unclaimed`: the run was found at the endpoint after a takeover, and no job has claimed it; its resource needs are unknown.
+ * `unclaimed`: the run was found at the endpoint after a takeover, and no job has claimed it, so its resource needs are unknown; or
+ * its job was dropped after a pause of this process.
  */
 export type RunState = 'ordered' | 'running' | 'stopping' | 'unclaimed'
 
-/** A run that takes up room at an endpoint. */
+/** A run that occupies capacity at an endpoint. */
 export interface LedgerRun {
   readonly task: TaskName
   readonly run: number
@@ -36,7 +37,7 @@
   notAfter: EndpointClockMs
   /** When the start was first sent. */
   readonly orderedAt: Ms
-  /** When the endpoint confirmed the start, or when the run was found. */
+  /** When the endpoint confirmed the start, or when the run became unclaimed. */
   startedAt: Ms
   /** True once the endpoint has confirmed the start or listed the run. */
   confirmed: boolean
@@ -44,7 +45,7 @@
   token: FencingToken
   /** Order id of the latest start or stop, to match its answer. */
   orderId: number
-  /** How often the present order, a start or a stop, was sent. */
+  /** How often the latest order, a start or a stop, was sent. */
   sends: number
   lastSentAt: Ms
   percent: number
@@ -83,13 +84,13 @@
   /** When the next hold is due if none is pending. */
   nextHoldAt: Ms
   /** Latest time, on this instance's clock, up to which runs may keep running without further holds. */
-  leaseHorizon: Ms
+  leasesEndBy: Ms
   /** Nothing is placed before this time, because starts sent to an earlier incarnation may still arrive. */
-  quarantineUntil: Ms
+  startsBlockedUntil: Ms
   /** The store's list has left the endpoint out for a while; it gets no more work. */
   unlisted: boolean
-  /** Cached room left; undefined when it has to be computed again. */
-  free: Resources | undefined
+  /** Cached free capacity; undefined when it has to be computed again. */
+  freeCapacity: Resources | undefined
 }
 
 /** Why a run has not started and never will. */
@@ -102,13 +103,13 @@
   runEnded (run: LedgerRun, how: RunEnd, endTimeKnown: boolean): void
   /** The run has not started and never will. */
   runRejected (run: LedgerRun, reason: RejectionReason): void
-  /** The run is gone without a reported end: its lease ran out, its endpoint restarted, or a later listing lacks it. */
+  /** The run no longer exists and its end was not reported: its lease ran out, its endpoint restarted, or a later listing lacks it. */
   runLost (run: LedgerRun): void
   runProgressed (run: LedgerRun): void
   /** The endpoint listed a run that the ledger did not contain, such as one of an earlier owner. */
   runFound (run: LedgerRun): void
-  /** Room may have become free at the endpoint. */
-  roomChanged (): void
+  /** Capacity may have become free at an endpoint. */
+  capacityChanged (): void
   /** An endpoint refused this owner's fencing token, so another instance has taken over the shard. */
   superseded (failureDomain: FailureDomain, token: FencingToken): void
 }
--- a/packages/core/src/execution/capacityPrecheck.ts
+++ b/packages/core/src/execution/capacityPrecheck.ts
@@ -8,7 +8,7 @@
 /** @returns the largest amount of CPU that is free at a single endpoint */
 export function largestFreeCpu (candidates: readonly Candidate[]): number {
   let largest = 0
-  for (const { room } of candidates) largest = Math.max(largest, room.cpuMilli)
+  for (const { freeCapacity } of candidates) largest = Math.max(largest, freeCapacity.cpuMilli)
   return largest
 }
 
--- a/packages/core/src/execution/executionDecider.spec.ts
+++ b/packages/core/src/execution/executionDecider.spec.ts
@@ -24,7 +24,7 @@
   return { job: { id: id as JobId, spec: '', features: [], steps: [step] }, queue, ageMs: ms(0), remainingMs: ms(10_000), attempt: 1, resumed: false, done: [], ...overrides }
 }
 
-/** A shard owner with endpoints that have room for one task each; tests answer its start, stop and hold orders explicitly. */
+/** A shard owner with endpoints that have capacity for one task each; tests answer its start, stop and hold orders explicitly. */
 class OwnerHarness {
   readonly ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: DOMAIN, address: 'me', cpuMilli: 500 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(1000) }
   readonly sentToFronts: ShardMessage[] = []
@@ -85,8 +85,8 @@
     this.answerHold(run.endpoint, [{ task: run.task, run: run.run, percent }])
   }
 
-  isSetAside (id: string): boolean {
-    return this.placement.isSetAside(id as EndpointId)
+  isQuarantined (id: string): boolean {
+    return this.placement.isQuarantined(id as EndpointId)
   }
 
   advanceMs (span: number): void {
@@ -208,7 +208,7 @@
       for (const index of [0, 1, 2, 3]) owner.reportProgress(`a.0.0.${index}`, percent)
     }
     expect(owner.stops).to.deep.equal([])
-    expect([0, 1, 2, 3].filter(index => owner.isSetAside(`e-${index}`))).to.deep.equal([])
+    expect([0, 1, 2, 3].filter(index => owner.isQuarantined(`e-${index}`))).to.deep.equal([])
   })
 
   it('moves no task when all tasks of a job take longer than estimated', () => {
--- a/packages/core/src/execution/executionDecider.ts
+++ b/packages/core/src/execution/executionDecider.ts
@@ -8,7 +8,7 @@
 import { ms } from '@cranberryyard/protocol'
 import { AdmissionDecider } from '../admission/admissionDecider.js'
 import type { ShardCapacity } from '../admission/types.js'
-import { fits, freeRoom, minus, plus } from '../endpoints/endpointsDb.js'
+import { fits, freeCapacityOf, minus, plus } from '../endpoints/endpointsDb.js'
 import type { EndpointsDecider } from '../endpoints/endpointsDecider.js'
 import type { LedgerRun, RejectionReason, RunListener } from '../endpoints/types.js'
 import type { Candidate, PlacementDecider } from '../placement/placementDecider.js'
@@ -18,13 +18,13 @@
 import { STALL_SLOWNESS, slownessOf, healthyRunMs } from './speed.js'
 import type { FrontSession, OwnedJob, OwnedStep, OwnedTask } from './types.js'
 
-/** Run time relative to the expected time from which a task may be moved to another endpoint. */
+/** Projected run time divided by the expected one, from which a task may be moved to another endpoint. */
 const MOVE_SLOWNESS = 2.5
 /** Time a move takes: the stop, the listing that confirms it, and the new start. */
 const MOVE_COST_MS = 80
 /** Interval at which waiting jobs are reassessed, because other jobs may have overtaken them in the meantime. */
 const REASSESS_INTERVAL_MS = 60
-/** A task avoids at most this many endpoints, so that one always remains to run it. */
+/** When a failed task already avoids this many endpoints, it starts a new list, so that some endpoint remains to run it. */
 const AVOIDED_ENDPOINTS_MAX = 3
 /** How long a computed capacity total is reused; fronts request it many times per tick. */
 const CAPACITY_CACHE_MS = 20
@@ -78,7 +78,11 @@
     if (job !== undefined && job.front.instance === from) this.abandon(job, 'callerLeft')
   }
 
-  /** Abandons the jobs of a lost front, except those of its given incarnation; callers resend their jobs to any front. */
+  /**
+   * Abandons the jobs of a lost front, whose callers resend them to any front.
+   * @param instance - the front
+   * @param incarnation - the front's live incarnation, whose jobs are kept; undefined when the front is lost altogether
+   */
   frontLost (instance: InstanceId, incarnation: number | undefined): void {
     for (const job of [...this.db.jobs.values()]) {
       if (job.front.instance !== instance) continue
@@ -111,7 +115,7 @@
     }
   }
 
-  /** Forgets all jobs, for example after a process pause during which their fronts may have given them up. */
+  /** Forgets all jobs, after a pause of this process during which their fronts may have given them up. */
   forgetAllJobs (): void {
     for (const job of [...this.db.jobs.values()]) this.forget(job)
     this.endpoints.unclaimRuns()
@@ -167,9 +171,9 @@
     let totalCpuMilli = 0
     let freeCpuMilli = 0
     for (const endpoint of this.endpoints.db.all()) {
-      if (!this.endpoints.usable(endpoint) || this.placement.isSetAside(endpoint.id)) continue
+      if (!this.endpoints.usable(endpoint) || this.placement.isQuarantined(endpoint.id)) continue
       totalCpuMilli += endpoint.report.capacity.cpuMilli
-      freeCpuMilli += Math.max(0, freeRoom(endpoint).cpuMilli)
+      freeCpuMilli += Math.max(0, freeCapacityOf(endpoint).cpuMilli)
     }
     return { totalCpuMilli, freeCpuMilli }
   }
@@ -229,7 +233,7 @@
     if (slowness >= MOVE_SLOWNESS) this.moveIfFaster(found.job, step, found.task, run, slowness)
   }
 
-  roomChanged (): void {
+  capacityChanged (): void {
     this.startRoundNeeded = true
   }
 
@@ -346,8 +350,8 @@
     const candidates: Candidate[] = []
     for (const endpoint of this.endpoints.db.all()) {
       if (!this.endpoints.usable(endpoint)) continue
-      const room = freeRoom(endpoint)
-      if (room.cpuMilli > 0) candidates.push({ endpoint, room })
+      const freeCapacity = freeCapacityOf(endpoint)
+      if (freeCapacity.cpuMilli > 0) candidates.push({ endpoint, freeCapacity })
     }
     return candidates
   }
@@ -386,7 +390,7 @@
     const candidate = this.placement.choose({ service: job.order.queue.service, needs, requiredLabel, preferredRack, avoid: task.avoid, tasksAt, maxPerEndpoint }, candidates)
     if (candidate === undefined) return false
     this.placement.recordPlacement(candidate.endpoint.id)
-    candidate.room = minus(candidate.room, needs)
+    candidate.freeCapacity = minus(candidate.freeCapacity, needs)
     plan.push({ step, task, candidate })
     return true
   }
@@ -418,7 +422,7 @@
     const ranMs = this.ctx.now - run.startedAt
     this.placement.recordCompletion(run.endpoint, ranMs / healthyRunMs(step, run, this.expectedMs(job, step)))
     step.finishedRunMs.push(ranMs)
-    if (!this.placement.isSetAside(run.endpoint)) this.admission.db.recordRatio(job.order.queue.name, ranMs / Math.max(1, step.spec.estimateMs))
+    if (!this.placement.isQuarantined(run.endpoint)) this.admission.db.recordRatio(job.order.queue.name, ranMs / Math.max(1, step.spec.estimateMs))
   }
 
   private expectedMs (job: OwnedJob, step: OwnedStep): number {
@@ -447,7 +451,7 @@
 
   /**
    * Stops a run that would finish sooner if it were restarted on another endpoint. A stalled run is stopped even when no
-   * other endpoint has capacity: it gains nothing where it is, and is started on the next endpoint that has free capacity.
+   * other endpoint has capacity: it makes no progress where it is, and it is restarted on the next endpoint that has free capacity.
    */
   private moveIfFaster (job: OwnedJob, step: OwnedStep, task: OwnedTask, run: LedgerRun, slowness: number): void {
     if (run.state !== 'running') return
@@ -455,7 +459,7 @@
     const remaining = expected * slowness * (100 - run.percent) / 100
     if (remaining <= expected + MOVE_COST_MS) return
     this.placement.recordSlowRun(run.endpoint, slowness)
-    const worthStopping = slowness >= STALL_SLOWNESS || this.candidates().some(candidate => candidate.endpoint.id !== run.endpoint && fits(step.spec.needs, candidate.room) && !this.placement.isSetAside(candidate.endpoint.id))
+    const worthStopping = slowness >= STALL_SLOWNESS || this.candidates().some(candidate => candidate.endpoint.id !== run.endpoint && fits(step.spec.needs, candidate.freeCapacity) && !this.placement.isQuarantined(candidate.endpoint.id))
     if (!worthStopping) return
     task.avoid.add(run.endpoint)
     this.ctx.out.count('shard.tasks.moved')
@@ -503,7 +507,7 @@
     }
   }
 
-  /** The front has not confirmed the job within its lease: it may have given the job up without being able to say so. Its caller resends the job to any front. */
+  /** A front that stopped confirming a job may have given it up without reaching this owner; its caller resends the job to any front. */
   private isConfirmationExpired (job: OwnedJob): boolean {
     return this.ctx.now - job.confirmedAt > this.ctx.cfg.jobLeaseMs
   }
@@ -531,7 +535,7 @@
 
 /** Returns the capacity of the planned starts. @returns false, since no task of the job starts */
 function releasePlan (plan: readonly PlannedStart[]): false {
-  for (const { candidate, step } of plan) candidate.room = plus(candidate.room, step.spec.needs)
+  for (const { candidate, step } of plan) candidate.freeCapacity = plus(candidate.freeCapacity, step.spec.needs)
   return false
 }
 
--- a/packages/core/src/execution/types.ts
+++ b/packages/core/src/execution/types.ts
@@ -18,7 +18,7 @@
   readonly step: number
   readonly index: number
   done: boolean
-  /** The current run, which occupies capacity at an endpoint, if any. */
+  /** The current run, if any; it occupies capacity at an endpoint. */
   run: LedgerRun | undefined
   /** Number of the latest run; each new run gets a higher one. */
   lastRun: number
@@ -35,7 +35,7 @@
   readonly tasks: readonly OwnedTask[]
   /** Number of tasks that are not done. */
   unfinishedTasks: number
-  /** Run times of finished tasks whose end was seen without delay. */
+  /** Run times of finished tasks whose end time is known and that this owner started itself. */
   readonly finishedRunMs: number[]
 }
 
--- a/packages/core/src/intake/intakeDecider.spec.ts
+++ b/packages/core/src/intake/intakeDecider.spec.ts
@@ -82,7 +82,7 @@
     expect(sent.at(-1)?.type).to.equal('cancelJob')
   })
 
-  it('does not hold a job without an owner longer than its answer is of use', () => {
+  it('keeps a job without an owner no longer than its answer is of use', () => {
     const { ctx, intake, sessions, replies } = setUp()
     // On time within 1.5 x 100 + 50 ms, of use within three times that.
     const usefulMs = 600
--- a/packages/core/src/intake/intakeDecider.ts
+++ b/packages/core/src/intake/intakeDecider.ts
@@ -1,8 +1,8 @@
 /**
  * Handles the jobs that callers sent to this instance: finds the queue, chooses the shard, resumes the job when the shard's
- * owner changes, and gives each call one reply. A job that may have run is never reported as refused. Separate from
- * execution, which runs at the shard's owner, so that a caller's job survives a lost owner, and so that a job can go to
- * another failure domain while its own has no room.
+ * owner changes, and gives each call one reply. A job that may have run is never reported as refused. Intake is
+ * separate from execution, which takes place at the shard's owner: a job thus survives the loss of its owner, and can go to
+ * another failure domain while its own has no free capacity.
  */
 import type { FailureDomain, InstanceId, JobId, JobOutcome, JobProgress, JobRequest, Ms, ShardMessage } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -15,11 +15,11 @@
 
 /** A job leaves this instance's domain only for a wait shorter by this much: a round trip between domains. */
 const REMOTE_PENALTY_MS = 15
-/** Share of busy room from which a domain counts as full. */
+/** Busy share of its capacity from which a domain counts as full. */
 const FULL_BUSY_SHARE = 0.97
-/** Run times exceed estimates by up to this factor; a leaving instance takes only jobs that are certain to end in time. */
+/** Run times exceed estimates by up to this factor; a leaving instance accepts only jobs that are certain to end in time. */
 const LEAVING_ESTIMATE_FACTOR = 2
-/** Wait for room that a leaving instance allows for; callers abandon jobs that wait longer. */
+/** Wait for free capacity that a leaving instance allows for; callers abandon jobs that wait longer. */
 const LEAVING_WAIT_MS = 1000
 /** Retry delay for callers that a leaving instance refuses; they should try another instance. */
 const LEAVING_RETRY_MS = ms(1000)
@@ -184,7 +184,7 @@
     if (job.declinedBy.size > 0) this.answerCallers(job, { type: 'refused', cause: 'overloaded', retryAfterMs: job.retryAfterMs })
   }
 
-  /** Prefers this instance's own domain unless it has no room and another one has; skips domains that declined the job. */
+  /** Prefers this instance's own domain unless it has no free capacity and another one has; skips domains that declined the job. */
   private chooseShard (job: FrontedJob): { readonly failureDomain: FailureDomain, readonly owner: InstanceId } | undefined {
     const { self } = this.ctx
     let best: { readonly failureDomain: FailureDomain, readonly owner: InstanceId } | undefined
--- a/packages/core/src/intake/types.ts
+++ b/packages/core/src/intake/types.ts
@@ -1,13 +1,13 @@
 /**
- * Types of the intake decision: the jobs of an instance that acts as their front, which is the instance that received them
- * from callers and answers these. The owner of a shard keeps its own record of each job; these types hold the front's.
+ * Types of the intake decision: the jobs of an instance that acts as their front, that is the instance that received them
+ * from callers and answers the callers. The owner of a shard keeps its own record of each job, with other types.
  */
 import type { DispatchOrder, FailureDomain, InstanceId, JobId, Ms, QueueTerms, JobRequest } from '@cranberryyard/protocol'
 
 /** Where a job is: at an owner, or waiting for one. */
 export type JobLocation =
   | { readonly type: 'atOwner', readonly failureDomain: FailureDomain, readonly owner: InstanceId, readonly since: Ms }
-  /** The owner is gone. The job may have runs in the shard, so only that shard's next owner may resume it. */
+  /** The job has no owner at present. It may have runs in the shard, so only that shard's next owner may resume it. */
   | { readonly type: 'detached', readonly failureDomain: FailureDomain, readonly lastOwner: InstanceId | undefined, readonly since: Ms }
   /** No owner has the job, and none that had it has started it; any owner may get it. */
   | { readonly type: 'unplaced', readonly since: Ms }
--- a/packages/core/src/ownership/ownershipDecider.ts
+++ b/packages/core/src/ownership/ownershipDecider.ts
@@ -100,14 +100,14 @@
     for (const failureDomain of [...this.db.owned.keys()]) this.handOver(failureDomain, 'leaving', () => true)
   }
 
-  /** Tells whether this instance is among the first successors of its own domain's owner. */
+  /** Returns whether this instance is among the first successors of its own domain's owner. */
   isNearSuccessor (): boolean {
     const { self } = this.ctx
     const index = this.db.records.get(self.failureDomain)?.value.successors.indexOf(self.instance) ?? -1
     return index !== -1 && index < NEAR_SUCCESSOR_COUNT
   }
 
-  /** Tells whether this instance owns at least one shard. */
+  /** Returns whether this instance owns at least one shard. */
   owns (): boolean {
     return this.db.owned.size > 0
   }
@@ -168,7 +168,7 @@
   }
 
   /**
-   * Tells whether the shard has no known owner, or one that is lost or has stopped listing the shard as its own. An entry
+   * Returns whether the shard has no known owner, or one that is lost, unknown as a peer, or no longer lists the shard as its own. An entry
    * that names this instance counts as vacant, since the check is made only while this instance does not own the shard.
    */
   private isVacant (ownDomain: FailureDomain): boolean {
--- a/packages/core/src/placement/placementDb.ts
+++ b/packages/core/src/placement/placementDb.ts
@@ -5,7 +5,7 @@
 import { ms } from '@cranberryyard/protocol'
 import type { EndpointTrust } from './types.js'
 
-/** Pause before an endpoint that was set aside gets its first trial task. */
+/** Pause before a quarantined endpoint gets its first trial task. */
 export const FIRST_TRIAL_PAUSE_MS = ms(600)
 
 /** Trust records by endpoint. */
@@ -16,7 +16,7 @@
   trustOf (id: EndpointId): EndpointTrust {
     const known = this.trust.get(id)
     if (known !== undefined) return known
-    const fresh: EndpointTrust = { slowness: 1, failures: 0, setAside: false, trialAt: ms(0), trialPauseMs: FIRST_TRIAL_PAUSE_MS }
+    const fresh: EndpointTrust = { slowness: 1, failures: 0, quarantined: false, trialAt: ms(0), trialPauseMs: FIRST_TRIAL_PAUSE_MS }
     this.trust.set(id, fresh)
     return fresh
   }
--- a/packages/core/src/placement/placementDecider.spec.ts
+++ b/packages/core/src/placement/placementDecider.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import type { EndpointId, EndpointReport, FailureDomain, InstanceId, ServiceName } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
-import { EndpointsDb, freeRoom } from '../endpoints/endpointsDb.js'
+import { EndpointsDb, freeCapacityOf } from '../endpoints/endpointsDb.js'
 import { SHARD_DEFAULTS } from '../shard/settings.js'
 import { ShardOutbox } from '../shard/types.js'
 import type { ShardContext } from '../shard/types.js'
@@ -30,7 +30,7 @@
   return specs.map(({ id, cpuMilli, labels = [] }) => {
     const report: EndpointReport = { id: id as EndpointId, service: SERVICE, address: id, failureDomain: 'd' as FailureDomain, draining: false, capacity: { cpuMilli, memoryMb: 100, accelerators: 0 }, labels, bornAt: 0 }
     const endpoint = db.add(report, ms(0))
-    return { endpoint, room: freeRoom(endpoint) }
+    return { endpoint, freeCapacity: freeCapacityOf(endpoint) }
   })
 }
 
@@ -50,7 +50,7 @@
     expect(chooseId(placement, from, { ...REQUEST, avoid: new Set(['plain' as EndpointId]) })).to.equal('labelled')
   })
 
-  it('sets an endpoint aside after two failures and trusts it again after one successful trial', () => {
+  it('quarantines an endpoint after two failures and trusts it again after one successful trial', () => {
     const { ctx, placement } = setUp()
     const from = candidates({ id: 'bad', cpuMilli: 16_000 })
     const id = 'bad' as EndpointId
@@ -72,15 +72,15 @@
     placement.recordFailure(id)
     placement.recordFailure(id)
     placement.retractFailure(id)
-    expect(placement.isSetAside(id)).to.equal(false)
+    expect(placement.isQuarantined(id)).to.equal(false)
   })
 
-  it('sets an endpoint aside for a single stalled run, but not for a single moderately slow one', () => {
+  it('quarantines an endpoint for a single stalled run, but not for a single moderately slow one', () => {
     const { placement } = setUp()
     const id = 'e' as EndpointId
     placement.recordSlowRun(id, 3)
-    expect(placement.isSetAside(id)).to.equal(false)
+    expect(placement.isQuarantined(id)).to.equal(false)
     placement.recordSlowRun(id, 10)
-    expect(placement.isSetAside(id)).to.equal(true)
+    expect(placement.isQuarantined(id)).to.equal(true)
   })
 })
--- a/packages/core/src/placement/placementDecider.ts
+++ b/packages/core/src/placement/placementDecider.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the endpoint for a task: best fit among the endpoints that recent runs show to be healthy. Best fit matters
- * because most endpoints have room for only two or three tasks, so one badly placed task blocks a whole slot. Trust matters
- * because some endpoints are slow, hang or fail every task, and each task placed on them is late; an endpoint that loses
- * trust is set aside and gets single trial tasks until one of them succeeds.
+ * because most endpoints have capacity for only two or three tasks, so one badly placed task blocks a whole slot. Trust
+ * matters because some endpoints are slow, hang or fail every task, and each task placed on them is late. An endpoint that
+ * loses trust is quarantined (`setAside` in logs and metrics) and gets single trial tasks until one of them succeeds.
  */
 import type { EndpointId, Resources } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
@@ -12,13 +12,13 @@
 import { FIRST_TRIAL_PAUSE_MS, PlacementDb } from './placementDb.js'
 import type { EndpointTrust, PlacementRequest } from './types.js'
 
-/** Slowness from which an endpoint is set aside; the latency objective allows less than this factor over the plain run time. */
+/** Slowness from which an endpoint is quarantined; the latency objective allows less than this factor over the plain run time. */
 const SLOWNESS_LIMIT = 2
-/** Number of consecutive failures after which an endpoint is set aside. */
+/** Number of consecutive failures after which an endpoint is quarantined. */
 const FAILURES_LIMIT = 2
 /** Weight of the latest successful run in the moving average of slowness. */
 const SLOWNESS_WEIGHT = 0.3
-/** Slowness from which a single run is enough evidence to set an endpoint aside. */
+/** Slowness from which a single run is enough evidence to quarantine an endpoint. */
 const SINGLE_RUN_SLOWNESS_LIMIT = 6
 /** Weight of a slow run below that limit in the moving average of slowness. */
 const SLOW_RUN_WEIGHT = 0.4
@@ -31,10 +31,10 @@
 /** Score added for an endpoint outside the preferred rack, which is near the data. */
 const FAR_RACK_PENALTY = 2
 
-/** An endpoint with its remaining capacity in the current placement round. */
+/** An endpoint with its free capacity in the current placement round. */
 export interface Candidate {
   readonly endpoint: LedgerEndpoint
-  room: Resources
+  freeCapacity: Resources
 }
 
 /** Chooses endpoints for tasks and keeps track of which endpoints can be trusted. */
@@ -46,14 +46,14 @@
   /**
    * Chooses the allowed endpoint with the lowest score.
    * @param request - requirements of the task
-   * @param candidates - usable endpoints with their remaining capacity
+   * @param candidates - usable endpoints with their free capacity
    * @returns the chosen candidate, or undefined when none fits now
    */
   choose (request: PlacementRequest, candidates: readonly Candidate[]): Candidate | undefined {
     let best: Candidate | undefined
     let bestScore = Infinity
     for (const candidate of candidates) {
-      if (!fits(request.needs, candidate.room) || !this.allowed(request, candidate.endpoint)) continue
+      if (!fits(request.needs, candidate.freeCapacity) || !this.allowed(request, candidate.endpoint)) continue
       const score = this.score(request, candidate)
       if (score < bestScore) {
         best = candidate
@@ -63,15 +63,15 @@
     return best
   }
 
-  /** Records a placement. At an endpoint that is set aside it is a trial, and no second task is placed there until the trial has ended. */
+  /** Records a placement. At a quarantined endpoint the task is a trial, and no second task is placed there until it has ended. */
   recordPlacement (id: EndpointId): void {
     const trust = this.db.trustOf(id)
-    if (trust.setAside) this.postponeTrial(trust)
+    if (trust.quarantined) this.postponeTrial(trust)
   }
 
   /** Whether the endpoint has lost its trust and gets only trial tasks. */
-  isSetAside (id: EndpointId): boolean {
-    return this.db.trustOf(id).setAside
+  isQuarantined (id: EndpointId): boolean {
+    return this.db.trustOf(id).quarantined
   }
 
   /**
@@ -82,30 +82,30 @@
   recordCompletion (id: EndpointId, slowness: number): void {
     const trust = this.db.trustOf(id)
     trust.failures = 0
-    trust.slowness = trust.setAside ? slowness : trust.slowness * (1 - SLOWNESS_WEIGHT) + slowness * SLOWNESS_WEIGHT
-    if (trust.setAside && slowness < SLOWNESS_LIMIT) this.restore(id, trust)
-    else if (!trust.setAside && trust.slowness >= SLOWNESS_LIMIT) this.setAside(id, trust, 'slow')
+    trust.slowness = trust.quarantined ? slowness : trust.slowness * (1 - SLOWNESS_WEIGHT) + slowness * SLOWNESS_WEIGHT
+    if (trust.quarantined && slowness < SLOWNESS_LIMIT) this.restore(id, trust)
+    else if (!trust.quarantined && trust.slowness >= SLOWNESS_LIMIT) this.quarantine(id, trust, 'slow')
   }
 
   /** Records a failed run or a start that the endpoint rejected as unhealthy or invalid. */
   recordFailure (id: EndpointId): void {
     const trust = this.db.trustOf(id)
     trust.failures++
-    if (trust.failures >= FAILURES_LIMIT || trust.setAside) this.setAside(id, trust, 'failures')
+    if (trust.failures >= FAILURES_LIMIT || trust.quarantined) this.quarantine(id, trust, 'failures')
   }
 
   /** Retracts one failure, because the task failed on another endpoint too and is itself the cause. */
   retractFailure (id: EndpointId): void {
     const trust = this.db.trustOf(id)
     trust.failures = Math.max(0, trust.failures - 1)
-    if (trust.setAside && trust.failures < FAILURES_LIMIT && trust.slowness < SLOWNESS_LIMIT) this.restore(id, trust)
+    if (trust.quarantined && trust.failures < FAILURES_LIMIT && trust.slowness < SLOWNESS_LIMIT) this.restore(id, trust)
   }
 
   /** Records a running task that makes too little progress. A moderately slow one may just have more work than others, so it counts only in part. */
   recordSlowRun (id: EndpointId, slowness: number): void {
     const trust = this.db.trustOf(id)
     trust.slowness = slowness >= SINGLE_RUN_SLOWNESS_LIMIT ? slowness : trust.slowness * (1 - SLOW_RUN_WEIGHT) + slowness * SLOW_RUN_WEIGHT
-    if (trust.slowness >= SLOWNESS_LIMIT) this.setAside(id, trust, 'stalled')
+    if (trust.slowness >= SLOWNESS_LIMIT) this.quarantine(id, trust, 'stalled')
   }
 
   private allowed (request: PlacementRequest, endpoint: LedgerEndpoint): boolean {
@@ -114,24 +114,24 @@
     if (request.requiredLabel !== '' && !report.labels.includes(request.requiredLabel)) return false
     if (request.tasksAt !== undefined && request.tasksAt(endpoint.id) >= request.maxPerEndpoint) return false
     const trust = this.db.trustOf(endpoint.id)
-    return !trust.setAside || (trust.trialAt <= this.ctx.now && endpoint.runs.size === 0)
+    return !trust.quarantined || (trust.trialAt <= this.ctx.now && endpoint.runs.size === 0)
   }
 
-  private score (request: PlacementRequest, { endpoint, room }: Candidate): number {
+  private score (request: PlacementRequest, { endpoint, freeCapacity }: Candidate): number {
     const trust = this.db.trustOf(endpoint.id)
-    const unused = (room.cpuMilli - request.needs.cpuMilli) / Math.max(1, endpoint.report.capacity.cpuMilli)
+    const unused = (freeCapacity.cpuMilli - request.needs.cpuMilli) / Math.max(1, endpoint.report.capacity.cpuMilli)
     const slow = Math.max(0, trust.slowness - SPEED_TOLERANCE) * SLOWNESS_PENALTY
     const far = request.preferredRack !== '' && !endpoint.report.labels.includes(request.preferredRack) ? FAR_RACK_PENALTY : 0
     return unused + slow + far
   }
 
-  private setAside (id: EndpointId, trust: EndpointTrust, why: string): void {
-    if (!trust.setAside) {
+  private quarantine (id: EndpointId, trust: EndpointTrust, why: string): void {
+    if (!trust.quarantined) {
       this.ctx.out.count('shard.endpoints.setAside')
       this.ctx.out.log('endpoint.setAside', { endpoint: id, why, slowness: Number(trust.slowness.toFixed(2)), failures: trust.failures })
       trust.trialPauseMs = FIRST_TRIAL_PAUSE_MS
     }
-    trust.setAside = true
+    trust.quarantined = true
     this.postponeTrial(trust)
   }
 
@@ -141,7 +141,7 @@
   }
 
   private restore (id: EndpointId, trust: EndpointTrust): void {
-    trust.setAside = false
+    trust.quarantined = false
     this.ctx.out.log('endpoint.trusted', { endpoint: id, slowness: Number(trust.slowness.toFixed(2)) })
   }
 }
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -9,8 +9,9 @@
   slowness: number
   /** Failed runs and rejected starts since the last successful run. */
   failures: number
-  setAside: boolean
-  /** When an endpoint that is set aside may get its next trial task. */
+  /** The endpoint gets only trial tasks; logs and metrics call this state `setAside`. */
+  quarantined: boolean
+  /** When a quarantined endpoint may get its next trial task. */
   trialAt: Ms
   /** Pause before the next trial; doubles with each postponement, up to a maximum. */
   trialPauseMs: Ms
--- a/packages/core/src/sessions/sessionsDb.ts
+++ b/packages/core/src/sessions/sessionsDb.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Records the owner of a shard, unless its token is not higher than the known one.
-   * @returns true when the owner or the token changed
+   * Records the owner of a shard if its token is higher than the known one.
+   * @returns true when the token was higher
    */
   learnOwner (shard: Pick<KnownShard, 'failureDomain' | 'owner' | 'token'>): boolean {
     const known = this.shards.get(shard.failureDomain)
--- a/packages/core/src/sessions/sessionsDecider.ts
+++ b/packages/core/src/sessions/sessionsDecider.ts
@@ -54,7 +54,7 @@
     if (peer !== undefined) peer.usesOwnedShard = true
   }
 
-  /** A connection to a peer could not be established: its process is gone or cut off from the network. */
+  /** A connection to a peer could not be established: its process has ended or is cut off from the network. */
   connectionFailed (instance: InstanceId): void {
     const peer = this.db.peers.get(instance)
     if (peer !== undefined) this.markLost(peer, 'unreachable')
@@ -69,7 +69,7 @@
   /**
    * Pings silent owners that this instance uses, and checks the silence of these and of all other monitored peers.
    * @param targets - owners to ping, with the silence after which each is pinged
-   * @param isMonitored - tells for any other peer whether its silence matters to this instance
+   * @param isMonitored - returns for any other peer whether its silence matters to this instance
    */
   tick (targets: ReadonlyMap<InstanceId, Ms>, isMonitored: (peer: PeerSession) => boolean): void {
     for (const peer of this.db.peers.values()) {
--- a/packages/core/src/shard/index.ts
+++ b/packages/core/src/shard/index.ts
@@ -1,5 +1,5 @@
 /**
- * Public interface of the shard decisions, for the daemon and the benches: an instance that answers callers and owns
+ * Public interface of the shard decisions, for the daemon and the benchmarks: an instance that answers callers and owns
  * endpoints under fencing tokens.
  */
 export { ShardInstance } from './shardInstance.js'
--- a/packages/core/src/shard/settings.ts
+++ b/packages/core/src/shard/settings.ts
@@ -37,15 +37,15 @@
   readonly startValidMs: Ms
   /** Time-out for the answer to a start or stop order; several round trips. */
   readonly orderTimeoutMs: Ms
-  /** How long a hold request waits at a busy endpoint for a run to end; also the period at which progress is reported. */
+  /** How long a hold waits at an endpoint with runs for a run to end; also the period at which progress is reported. */
   readonly holdWaitMs: Ms
-  /** Period at which an endpoint without runs is probed. */
+  /** Period of holds at an endpoint without runs. */
   readonly idleHoldPeriodMs: Ms
-  /** Period at which an endpoint that does not answer is probed. */
+  /** Period of holds at an endpoint that does not answer. */
   readonly silentHoldPeriodMs: Ms
   /** Slack added to the end of leases for delays of the process scheduler and the network. */
   readonly leaseSlackMs: Ms
-  /** Runs found after a takeover that no front claims within this span are stopped. */
+  /** Runs found after a takeover that no job claims within this span are stopped. */
   readonly claimGraceMs: Ms
   /** Longest time until a superseded owner has stopped sending orders: one hold and its answer. */
   readonly supersededMs: Ms
@@ -59,7 +59,7 @@
   readonly leaveAcceptMs: Ms
   /** Multiple of the latency objective up to which a late answer is still useful (bound of the platform). */
   readonly usefulFactor: number
-  /** How long endpoints that are missing from the store's list are kept; the span starts anew when the store is back. */
+  /** How long endpoints that are missing from the store's list are kept; the span restarts when the store is reachable again. */
   readonly missingEndpointRetentionMs: Ms
 }
 
--- a/packages/core/src/shard/shardInstance.ts
+++ b/packages/core/src/shard/shardInstance.ts
@@ -101,7 +101,7 @@
     return !this.ownership.owns() && this.intake.db.jobs.size === 0
   }
 
-  /** Tells whether the desired state has a queue for the path. */
+  /** Returns whether the desired state has a queue for the path. */
   hasQueue (host: string, path: string): boolean {
     return this.desired.db.queueFor(host, path) !== undefined
   }
@@ -156,7 +156,7 @@
     }
   }
 
-  /** Delivers a message to a peer or, without a connection, to this instance itself, which handles it like any other. */
+  /** Delivers a message to a peer. One to this instance itself is handled directly, without a connection. */
   private deliver (to: InstanceId, message: ShardMessage): void {
     if (to !== this.ctx.self.instance) this.sessions.send(to, message)
     else this.receive(to, message)
@@ -188,14 +188,14 @@
   }
 
   /**
-   * Tells whether pings from the instance must keep arriving. Fronts of the own domain ping its owner as long as both are
+   * Returns whether pings from the instance must keep arriving. Fronts of the own domain ping its owner as long as both are
    * live, but they stop pinging an instance that no longer owns the shard.
    */
   private expectsPingsFrom (instance: InstanceId): boolean {
     return this.ownership.owns() && this.ownership.db.members.get(instance)?.failureDomain === this.ctx.self.failureDomain
   }
 
-  /** Tells whether the given instance owns the shard of this instance's own domain. */
+  /** Returns whether the given instance owns the shard of this instance's own domain. */
   private ownsLocalDomain (instance: InstanceId): boolean {
     return this.sessions.db.shards.get(this.ctx.self.failureDomain)?.owner === instance
   }
@@ -251,8 +251,8 @@
   }
 
   /**
-   * Tells whether this owner knows all runs that earlier owners started. They are known once every endpoint has been
-   * probed, and have ended once their leases have expired. Until the list is complete and has been read since the takeover,
+   * Returns whether this owner knows all runs that earlier owners started. They are known once every endpoint has answered
+   * a hold under the present token, and have ended once their leases have expired. Until the list is complete and has been read since the takeover,
    * an earlier owner may have used endpoints that this one does not know and on which no token fences it.
    */
   private earlierRunsKnown (failureDomain: FailureDomain): boolean {
@@ -337,8 +337,8 @@
   }
 
   /**
-   * Detects that the process was paused. It cannot know what other instances did in the meantime, so it gives up all jobs
-   * and probes its endpoints again.
+   * Detects that the process was paused. It cannot know what other instances did in the meantime, so it gives up all jobs,
+   * and every endpoint must answer again before anything starts there.
    */
   private detectPause (now: Ms, wall: Ms): void {
     const { cfg, out } = this.ctx
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -93,7 +93,7 @@
   private effects: ShardEffect[] = []
   readonly counters = new Map<ShardCounterName, number>()
 
-  /** @param effect - what the shell is to do */
+  /** @param effect - action that the shell has to perform */
   push (effect: ShardEffect): void {
     this.effects.push(effect)
   }
--- a/packages/core/src/utils/chart.ts
+++ b/packages/core/src/utils/chart.ts
@@ -17,9 +17,6 @@
   readonly states: Readonly<Record<string, { readonly type?: 'final', readonly on?: Readonly<Record<string, string>> }>>
 }
 
-/**
- * Reads and parses a chart's file.
- */
 export function readChart (name: ChartName): ChartFile {
   return JSON.parse(readFileSync(new URL(`../charts/${name}.json`, import.meta.url), 'utf8')) as ChartFile
 }
--- a/packages/core/src/utils/random.ts
+++ b/packages/core/src/utils/random.ts
@@ -20,9 +20,7 @@
   return { below: n => n <= 1 ? 0 : uniformInt(rng, 0, n - 1) }
 }
 
-/**
- * Draws up to `count` items without replacement.
- */
+/** Draws up to `count` items without replacement. */
 export function sample<T> (random: Random, items: readonly T[], count: number): T[] {
   const pool = [...items]
   const drawn: T[] = []
--- a/packages/core/src/utils/rendezvous.ts
+++ b/packages/core/src/utils/rendezvous.ts
@@ -4,9 +4,7 @@
  */
 import murmurhash from 'murmurhash'
 
-/**
- * Hashes text to an unsigned 32-bit number.
- */
+/** Hashes text to an unsigned 32-bit number. */
 export const hash32 = (text: string): number => murmurhash.v3(text, 0)
 
 /**
