--- a/packages/core/src/admission/admissionDecider.spec.ts
+++ b/packages/core/src/admission/admissionDecider.spec.ts
@@ -22,10 +22,10 @@
       makeWork('relaxed', { onTimeUntil: ms(1600) }),
       makeWork('urgent', { onTimeUntil: ms(1150) }),
       makeWork('useless', { onTimeUntil: ms(500), usefulUntil: ms(900), started: true }),
-      makeWork('at work', { onTimeUntil: ms(1010), started: true })
+      makeWork('started', { onTimeUntil: ms(1010), started: true })
     ]
     for (const job of jobs) admission.db.waiting.add(job)
-    expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['at work', 'urgent', 'relaxed', 'late', 'useless'])
+    expect(admission.inStartOrder(ms(1000)).map(job => job.name)).to.deep.equal(['started', 'urgent', 'relaxed', 'late', 'useless'])
   })
 
   it('starts the job with the lower priority number first when the latest starts of two jobs are close', () => {
--- a/packages/core/src/admission/admissionDecider.ts
+++ b/packages/core/src/admission/admissionDecider.ts
@@ -1,9 +1,10 @@
 /**
  * Decides the order in which jobs start their tasks, and which jobs are declined. Started jobs come first, then jobs that
- * can still meet their latency objective, ordered by the latest start that meets it, and last, with the remaining
- * capacity, jobs that can only be late. A job is declined as soon as it is clear that it cannot finish while its answer
- * is still useful. This matters under overload, that is when a burst of one or all kinds of jobs exceeds the capacity of
- * the shard or a failure domain loses endpoints: serving jobs in order of arrival would then make every job late.
+ * can still meet their latency objective, ordered by the latest start that meets it, and then, with the remaining capacity,
+ * jobs that can only be late. Jobs whose answer is no longer useful come last, started or not. A job is declined as soon as
+ * it is clear that it cannot finish while its answer is still useful. This matters under overload, that is when a burst of
+ * one or all kinds of jobs exceeds the capacity of the shard or a failure domain loses endpoints: serving jobs in order of
+ * arrival would then make every job late.
  */
 import type { Ms } from '@cranberryyard/protocol'
 import { ms } from '@cranberryyard/protocol'
--- a/packages/core/src/endpoints/endpointList.spec.ts
+++ b/packages/core/src/endpoints/endpointList.spec.ts
@@ -13,10 +13,10 @@
   return { id: id as EndpointId, service: 's' as ServiceName, address: id, failureDomain, draining: false, capacity: { cpuMilli: 1, memoryMb: 1, accelerators: 0 }, labels: [], bornAt: 1 }
 }
 
-function setUp (): { ctx: ShardContext, list: EndpointList, gone: string[] } {
+function setUp (): { ctx: ShardContext, list: EndpointList, removed: string[] } {
   const ctx: ShardContext = { self: { instance: 'me' as InstanceId, incarnation: 1, failureDomain: NEAR, address: 'me', cpuMilli: 1 }, cfg: SHARD_DEFAULTS, out: new ShardOutbox(), now: ms(0) }
-  const gone: string[] = []
-  return { ctx, list: new EndpointList(ctx, id => gone.push(id)), gone }
+  const removed: string[] = []
+  return { ctx, list: new EndpointList(ctx, id => removed.push(id)), removed }
 }
 
 describe('EndpointList, an instance\'s copy of the list of endpoints', () => {
@@ -41,15 +41,15 @@
   })
 
   it('restarts the retention of missing entries after a store outage', () => {
-    const { ctx, list, gone } = setUp()
+    const { ctx, list, removed } = setUp()
     list.applyList([report('a')], false)
     list.applyList([], false)
     ctx.now = ms(missingEndpointRetentionMs + 1000)
     list.storeReachableAgain()
     list.applyList([], false)
-    expect(gone).to.deep.equal([])
+    expect(removed).to.deep.equal([])
     ctx.now = ms(2 * missingEndpointRetentionMs + 1000)
     list.applyList([], false)
-    expect(gone).to.deep.equal(['a'])
+    expect(removed).to.deep.equal(['a'])
   })
 })
--- a/packages/core/src/endpoints/endpointList.ts
+++ b/packages/core/src/endpoints/endpointList.ts
@@ -1,7 +1,7 @@
 /**
- * This instance's copy of the store's list of endpoints: the entries, how fresh they are, and which endpoints are gone.
+ * This instance's copy of the store's list of endpoints: the entries, how fresh they are, and when one is removed.
  * The store's list is read at intervals, lags behind, and for a while after a store outage leaves out endpoints that still
- * exist. An endpoint therefore counts as gone only after lists have left it out for `missingEndpointRetentionMs`.
+ * exist. An endpoint is therefore removed only after lists have left it out for `missingEndpointRetentionMs`.
  */
 import type { EndpointId, EndpointReport, FailureDomain, Ms } from '@cranberryyard/protocol'
 import type { ShardContext } from '../shard/types.js'
@@ -20,7 +20,7 @@
   private firstReadAt: Ms | undefined
   private completeSince: Ms | undefined
 
-  constructor (private readonly ctx: ShardContext, private readonly onGone: (id: EndpointId) => void) {}
+  constructor (private readonly ctx: ShardContext, private readonly onRemoved: (id: EndpointId) => void) {}
 
   /** When this instance last read the list as an owner, not from a copy that may be old. */
   get freshAt (): Ms | undefined {
@@ -56,7 +56,7 @@
       this.entries.set(report.id, { report, missingSince: undefined })
     }
     for (const [id, entry] of this.entries) {
-      if (!listedIds.has(id)) this.removeIfGone(id, entry)
+      if (!listedIds.has(id)) this.removeIfExpired(id, entry)
     }
   }
 
@@ -71,13 +71,13 @@
    * Removes an endpoint that lists have left out for `missingEndpointRetentionMs`. This is checked only when a list is read,
    * because time without any list proves nothing.
    */
-  private removeIfGone (id: EndpointId, entry: ListEntry): void {
+  private removeIfExpired (id: EndpointId, entry: ListEntry): void {
     const { now, cfg, out } = this.ctx
     entry.missingSince ??= now
     const missingMs = now - entry.missingSince
     if (missingMs < cfg.missingEndpointRetentionMs) return
     this.entries.delete(id)
     out.log('endpoint.gone', { endpoint: id, failureDomain: entry.report.failureDomain, missingMs: Math.round(missingMs) })
-    this.onGone(id)
+    this.onRemoved(id)
   }
 }
--- a/packages/core/src/endpoints/endpointsDecider.ts
+++ b/packages/core/src/endpoints/endpointsDecider.ts
@@ -24,11 +24,11 @@
 import { EndpointsDb, endpointClock, latestLeaseEnd, makeRun } from './endpointsDb.js'
 import type { LedgerEndpoint, LedgerRun, PendingHold, RejectionReason, RunListener } from './types.js'
 
-/** Consecutive holds without an answer after which leases are no longer renewed, so that runs there are certain to lapse. */
+/** Consecutive holds without an answer after which leases are no longer renewed, so that the runs there are certain to end. */
 const UNANSWERED_HOLDS_MAX = 2
 /** Longest gap between two holds at which the time of an end is still exact enough to judge the endpoint's speed. */
 const END_TIME_GAP_MAX_MS = 15
-/** How often a start is sent; after that the owner waits until the start can no longer take effect. */
+/** Maximum number of times a start is sent; after that the owner waits until it can no longer take effect. */
 const START_SENDS_MAX = 3
 /** Longest delay with which an endpoint may still carry out an order (stated by the platform). */
 const LATE_ORDER_MS = 12_000
--- a/packages/core/src/execution/executionDecider.ts
+++ b/packages/core/src/execution/executionDecider.ts
@@ -358,7 +358,8 @@
 
   /**
    * Starts a job's waiting tasks.
-   * @param allowPartial - whether some tasks may start while others still wait; of the jobs that have not started, only one at a time may do so
+   * @param allowPartial - whether some tasks may start while others still wait; of the jobs that have not started, only one at
+   * a time may do so
    * @returns true when every task of the ready steps has started
    */
   private startTasks (job: OwnedJob, candidates: readonly Candidate[], allowPartial: boolean): boolean {
@@ -437,7 +438,10 @@
     else this.requeue(job)
   }
 
-  /** Counts a first failure against the endpoint. After a second failure the fault is taken to be the task's, and counts against neither endpoint. */
+  /**
+   * Counts the task's first failure against the endpoint. After a second failure the fault is taken to be the task's, and
+   * neither failure counts against an endpoint.
+   */
   private attributeFailure (task: OwnedTask, run: LedgerRun): void {
     if (task.failedEndpoints.size === 0) {
       this.placement.recordFailure(run.endpoint)
--- a/packages/core/src/placement/placementDecider.ts
+++ b/packages/core/src/placement/placementDecider.ts
@@ -101,7 +101,10 @@
     if (trust.quarantined && trust.failures < FAILURES_LIMIT && trust.slowness < SLOWNESS_LIMIT) this.restore(id, trust)
   }
 
-  /** Records a running task that makes too little progress. A moderately slow one may just have more work than others, so it counts only in part. */
+  /**
+   * Records a running task that makes too little progress. A moderately slow one may just have more work than others, so it
+   * counts only in part.
+   */
   recordSlowRun (id: EndpointId, slowness: number): void {
     const trust = this.db.trustOf(id)
     trust.slowness = slowness >= SINGLE_RUN_SLOWNESS_LIMIT ? slowness : trust.slowness * (1 - SLOW_RUN_WEIGHT) + slowness * SLOW_RUN_WEIGHT
--- a/packages/core/src/shard/shardInstance.spec.ts
+++ b/packages/core/src/shard/shardInstance.spec.ts
@@ -32,12 +32,12 @@
 describe('the list of endpoints', () => {
   const { missingEndpointRetentionMs } = SHARD_DEFAULTS
 
-  it('does not treat an endpoint as gone after a single list without it, however long ago that was', () => {
+  it('does not remove an endpoint after a single list without it, however long ago that was', () => {
     const inputs: [number, ShardInput][] = [[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [100 + missingEndpointRetentionMs + 1, TICK], [200 + missingEndpointRetentionMs, listInput(ENDPOINT)]]
     expect(loggedEvents(inputs)).not.to.include('endpoint.gone')
   })
 
-  it('treats an endpoint as gone when lists omit it for the whole time span', () => {
+  it('removes an endpoint that lists leave out for the whole retention period', () => {
     expect(loggedEvents([[0, REACHABLE], [1, listInput(ENDPOINT)], [100, listInput()], [101 + missingEndpointRetentionMs, listInput()]])).to.include('endpoint.gone')
   })
 })
--- a/packages/core/src/shard/shardInstance.ts
+++ b/packages/core/src/shard/shardInstance.ts
@@ -67,7 +67,7 @@
     })
     this.endpoints = new EndpointsDecider(ctx, failureDomain => this.ownership.db.owned.get(failureDomain)?.token, this.execution)
     this.execution.endpoints = this.endpoints
-    this.endpointList = new EndpointList(ctx, id => this.endpointGone(id))
+    this.endpointList = new EndpointList(ctx, id => this.endpointRemoved(id))
     this.intake = new IntakeDecider(ctx, this.desired, this.sessions, (to, message) => this.deliver(to, message))
   }
 
@@ -252,8 +252,9 @@
 
   /**
    * Returns whether this owner knows all runs that earlier owners started. They are known once every endpoint has answered
-   * a hold under the present token, and have ended once their leases have expired. Until the list is complete and has been read since the takeover,
-   * an earlier owner may have used endpoints that this one does not know and on which no token fences it.
+   * a hold under the present token, and have ended once their leases have expired. Until the list is complete and has been
+   * read since the takeover, an earlier owner may have used endpoints that this one does not know and on which no token
+   * fences it.
    */
   private earlierRunsKnown (failureDomain: FailureDomain): boolean {
     const { now, cfg } = this.ctx
@@ -308,7 +309,7 @@
     this.endpoints.update(reports.filter(report => this.ownership.db.owned.has(report.failureDomain)))
   }
 
-  private endpointGone (id: EndpointId): void {
+  private endpointRemoved (id: EndpointId): void {
     this.endpoints.markUnlisted(id)
     this.placement.db.forget(id)
   }
