--- a/packages/bench/src/fuzz/oracle.ts
+++ b/packages/bench/src/fuzz/oracle.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the guarantees of a fleet in memory. The oracle works from the starts that endpoints accepted, the answers that
- * callers received, and the contract versions of the store and the instances. It never reads the counters of the instances,
- * so that an error in their bookkeeping can't hide a violation.
+ * Checks the invariants of a fleet in memory. The oracle works from the starts that endpoints accepted, the answers that
+ * callers received, and the versions of the fleet value in the store and at the instances. It never reads the counters of
+ * the instances, so that an error in their bookkeeping can't hide a violation.
  */
 import type { Fleet, StartRequest } from '@cranberryyard/protocol'
 import type { CallRecord, MemoryFleet, MemoryNode } from '../memory/memoryFleet.js'
@@ -14,10 +14,10 @@
   readonly kind: string
 }
 
-/** A violated guarantee. */
+/** A violated invariant. */
 export class Violation extends Error {}
 
-/** Tasks of a dead instance may run until their leases expire; its contract version counts until then. */
+/** Tasks of a dead instance may run until their leases expire; until then the limits of its fleet version are allowed too. */
 const DEAD_INSTANCE_LEASE_MS = 10_000
 
 interface NodeVersion {
@@ -27,7 +27,7 @@
   diedAt: number | undefined
 }
 
-/** Checks the guarantees during and after a run. */
+/** Checks the invariants during and after a run. */
 export class Oracle {
   /** Largest number of running tasks above the limit, over all starts. */
   overshoot = 0
@@ -56,7 +56,7 @@
     for (const call of this.fleet.calls) if (call.instance === node.id && !isEnded(call)) this.lostCalls.add(call.callId)
   }
 
-  /** Checks the guarantees that hold at any time. */
+  /** Checks the invariants that hold at any time. */
   check (): void {
     for (const node of this.fleet.nodes) this.checkVersion(node)
     for (const call of this.fleet.calls) this.checkCall(call)
@@ -110,7 +110,7 @@
   }
 
   /**
-   * @returns the largest limit among the contract versions that an instance may still apply; when the lowest version in force
+   * @returns the largest limit among the fleet versions that an instance may still apply; when the lowest version in force
    * was never recorded, the last recorded version before it counts too
    */
   private largestLimit (customer: string): number {
@@ -146,7 +146,7 @@
     this.recordVersion(node)
     const recorded = this.versions.get(node.id)
     const { version } = node.core.contracts
-    if (recorded !== undefined && version < recorded.version) throw new Violation(`${node.id} went back from contract version ${recorded.version} to ${version}`)
+    if (recorded !== undefined && version < recorded.version) throw new Violation(`${node.id} went back from fleet version ${recorded.version} to ${version}`)
     if (recorded !== undefined) recorded.version = version
   }
 
--- a/packages/bench/src/fuzz/runFuzz.ts
+++ b/packages/bench/src/fuzz/runFuzz.ts
@@ -95,7 +95,7 @@
 /**
  * Runs the fuzzer.
  * @param options - seed, number of runs, length
- * @returns whether a guarantee was violated, with the shrunk command sequence
+ * @returns whether an invariant was violated, with the shrunk command sequence
  */
 export async function runFuzz (options: FuzzOptions): Promise<FuzzOutcome> {
   const { seed, runs, commandsMax, path, endOnFailure = false } = options
--- a/packages/bench/src/fuzz/traces.spec.ts
+++ b/packages/bench/src/fuzz/traces.spec.ts
@@ -1,6 +1,6 @@
 import { TRACES } from './traces.js'
 
-describe('no guarantee is violated when', function () {
+describe('no invariant is violated when', function () {
   this.timeout(60_000)
 
   for (const trace of TRACES) it(trace.name, () => trace.run())
--- a/packages/bench/src/fuzz/traces.ts
+++ b/packages/bench/src/fuzz/traces.ts
@@ -1,6 +1,6 @@
 /**
  * Short fixed command sequences that each provoke one kind of failure. Fuzzing found some of them; others
- * are needed to catch a mutation of core. Every trace must end without a violated guarantee. The mutations
+ * are needed to catch a mutation of core. Every trace must end without a violated invariant. The mutations
  * refer to traces by name.
  */
 import { bucketOf, holdersOf } from '@cranberryyard/core'
--- a/packages/bench/src/processes/proof.ts
+++ b/packages/bench/src/processes/proof.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the guarantees of a run with real processes, from the start logs of the endpoint stand-ins and the answers to
+ * Checks the invariants of a run with real processes, from the start logs of the endpoint stand-ins and the answers to
  * the callers. It reads no counters or logs of the instances.
  */
 import type { StartLogEntry } from '@cranberryyard/fakes'
@@ -7,7 +7,7 @@
 import type { CallEnd } from './caller.js'
 import type { LocalFleet } from './localFleet.js'
 
-/** Description of a violated guarantee. */
+/** Description of a violated invariant. */
 export type Finding = string
 
 function startLogs (fleet: LocalFleet): StartLogEntry[] {
